--- a/godwit/daemon/first_death_keeper.cpp
+++ b/godwit/daemon/first_death_keeper.cpp
@@ -52,7 +52,7 @@
     }
     const TimePoint now = Relay::now();
     m_lookedAt = now;
-    const auto deaths = firstDeathsIn(m_relay.state().suspects, now);
+    const auto deaths = collectFirstDeaths(m_relay.state().suspects, now);
     if (isWorthWriting(knownOf(deaths), now)) {
         write(deaths);
     }
@@ -103,8 +103,8 @@
     const Known before = std::exchange(m_stored, knownOf(*deaths));
     for (const FirstDeath &death : *deaths) {
         const bool isNew = before.count({death.fingerprint, death.endpoint}) == 0;
-        if (isNew && !wasAnsweredSince(state.recentAnswers, death.fingerprint, now - death.ago)) {
-            noteFirstDeath(state.suspects, death, now);
+        if (isNew && !wasAnsweredSince(state.recentAnswers, death.fingerprint, now - death.age)) {
+            recordFirstDeath(state.suspects, death, now);
         }
     }
 }
--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -145,7 +145,7 @@
     // The third death convicts. An error of judgement lasts seconds: then one router tries the request again, and only
     // a further death makes it long.
     options.suspects.deathsToConvict = 3;
-    options.suspects.trialConvicts = true;
+    options.suspects.convictionRequiresTrial = true;
     options.suspects.firstRefuseFor = std::chrono::seconds(15);
     return options;
 }
--- a/godwit/daemon/suspect_deaths.cpp
+++ b/godwit/daemon/suspect_deaths.cpp
@@ -98,9 +98,9 @@
 
 void SuspectKeeper::onDeath(const EndpointCuts &death, std::string_view sign)
 {
-    SuspectBook &book = m_relay.state().suspects;
+    SuspectTracker &book = m_relay.state().suspects;
     const TimePoint now = Relay::now();
-    forgetOldSuspects(book, now);
+    removeExpiredSuspects(book, now);
     noteContact();
     const EndpointDeath noted{death.id, {}, death.dataCentre, death.askedFrom, {}};
     std::set<std::uint64_t> fingerprints;
@@ -118,8 +118,8 @@
             continue;
         }
         fingerprints.insert(run.fingerprint);
-        const bool byItself = run.trial && book.hearsFleet;
-        if (!noteSuspect(book, noted, run.fingerprint, {run.sentAt, byItself, byItself})) {
+        const bool byItself = run.trial && book.connectedToPeers;
+        if (!recordSuspect(book, noted, run.fingerprint, {run.sentAt, byItself, byItself})) {
             continue;
         }
         SuspectNotice notice;
@@ -151,16 +151,16 @@
 // Each request with the deaths that count against it and what is believed of it.
 void SuspectKeeper::logDeath(const EndpointCuts &death, std::string_view sign) const
 {
-    const SuspectBook &book = m_relay.state().suspects;
+    const SuspectTracker &book = m_relay.state().suspects;
     std::string requests;
     for (std::size_t i = 0; i < std::min(death.runs.size(), m_options.maxShown); ++i) {
         const std::uint64_t fingerprint = death.runs[i].fingerprint;
         requests.append(requests.empty() ? "" : " ")
-            .append(fingerprintText(fingerprint))
+            .append(formatFingerprint(fingerprint))
             .append(1, ':')
-            .append(std::to_string(soundDeaths(book, fingerprint).size()))
+            .append(std::to_string(attributableDeaths(book, fingerprint).size()))
             .append(1, ':')
-            .append(enumName(VerdictNames, verdictOn(book, fingerprint, Relay::now())));
+            .append(enumName(VerdictNames, verdictFor(book, fingerprint, Relay::now())));
     }
     m_relay.log().write("endpoint_died",
                         {{"endpoint", std::string_view(death.id.value)},
@@ -173,7 +173,7 @@
 
 void SuspectKeeper::judgeLater(std::set<std::uint64_t> fingerprints)
 {
-    auto timer = std::make_shared<boost::asio::steady_timer>(m_io, m_options.suspects.settle);
+    auto timer = std::make_shared<boost::asio::steady_timer>(m_io, m_options.suspects.coincidenceWindow);
     timer->async_wait([this, timer, fingerprints = std::move(fingerprints)](const boost::system::error_code &error) {
         if (error) {
             return;
@@ -186,13 +186,13 @@
 
 void SuspectKeeper::judgeNow(std::uint64_t fingerprint)
 {
-    SuspectBook &book = m_relay.state().suspects;
+    SuspectTracker &book = m_relay.state().suspects;
     const TimePoint now = Relay::now();
     noteContact();
     const auto judged = m_judged.find(fingerprint);
-    const bool nothingNew = judged != m_judged.end() && soundDeaths(book, fingerprint).size() <= judged->second;
-    if (nothingNew || refusedFor(book, fingerprint, now) > Duration::zero()
-        || judge(book, fingerprint, now) != Verdict::Convicted) {
+    const bool nothingNew = judged != m_judged.end() && attributableDeaths(book, fingerprint).size() <= judged->second;
+    if (nothingNew || remainingRefusal(book, fingerprint, now) > Duration::zero()
+        || evaluateSuspect(book, fingerprint, now) != Verdict::Convicted) {
         return;
     }
     noteJudged(fingerprint);
@@ -201,7 +201,7 @@
     SuspectNotice notice;
     notice.fingerprint = fingerprint;
     notice.status = SuspectStatus::Convicted;
-    notice.refuseFor = refusedFor(book, fingerprint, now);
+    notice.refuseFor = remainingRefusal(book, fingerprint, now);
     if (tell) {
         tell({notice});
     }
@@ -211,7 +211,7 @@
 // A verdict that has ended is given again for a further death only.
 void SuspectKeeper::noteJudged(std::uint64_t fingerprint)
 {
-    m_judged[fingerprint] = soundDeaths(m_relay.state().suspects, fingerprint).size();
+    m_judged[fingerprint] = attributableDeaths(m_relay.state().suspects, fingerprint).size();
 }
 
 } // namespace Godwit
--- a/godwit/daemon/suspect_keeper.cpp
+++ b/godwit/daemon/suspect_keeper.cpp
@@ -43,12 +43,12 @@
 
 void SuspectKeeper::noteContact()
 {
-    m_relay.state().suspects.hearsFleet = !hearsFleet || hearsFleet();
+    m_relay.state().suspects.connectedToPeers = !hearsFleet || hearsFleet();
 }
 
 void SuspectKeeper::onNotices(const std::vector<SuspectNotice> &notices)
 {
-    SuspectBook &book = m_relay.state().suspects;
+    SuspectTracker &book = m_relay.state().suspects;
     const TimePoint now = Relay::now();
     std::set<std::uint64_t> toJudge;
     std::set<std::uint64_t> spokenFor;
@@ -65,7 +65,7 @@
             if (wasAnsweredSince(m_relay.state().recentAnswers, fingerprint, at - m_options.answerClears)) {
                 spokenFor.insert(fingerprint);
             }
-            if (soundDeaths(book, fingerprint).size() >= book.options.deathsToConvict) {
+            if (attributableDeaths(book, fingerprint).size() >= book.options.deathsToConvict) {
                 toJudge.insert(fingerprint);
             }
         }
@@ -82,7 +82,7 @@
 // Another router has been given its answer.
 void SuspectKeeper::onCleared(std::uint64_t fingerprint)
 {
-    pardon(m_relay.state().suspects, fingerprint);
+    clearAllEvidence(m_relay.state().suspects, fingerprint);
     m_clearedAt[fingerprint] = Relay::now();
     const auto known = m_records.find(fingerprint);
     if (known != m_records.end() && (known->second.writing || known->second.ownWrite)) {
@@ -93,12 +93,12 @@
 void SuspectKeeper::noteToldDeath(const SuspectNotice &notice)
 {
     const TimePoint at = Relay::now() - notice.age;
-    InFlight run;
+    InFlightRun run;
     run.trial = notice.trial;
     if (notice.ranFor) {
         run.sentAt = at - *notice.ranFor;
     }
-    noteSuspect(
+    recordSuspect(
         m_relay.state().suspects, {notice.endpoint, notice.host, notice.dataCentre, at, {}}, notice.fingerprint, run);
 }
 
@@ -129,10 +129,10 @@
     m_ownTrials.erase(fingerprint);
     const auto known = m_records.find(fingerprint);
     const bool recorded = known != m_records.end() && known->second.revision != 0;
-    if (verdictOn(state.suspects, fingerprint, Relay::now()) == Verdict::Unsuspected && !recorded) {
+    if (verdictFor(state.suspects, fingerprint, Relay::now()) == Verdict::Unsuspected && !recorded) {
         return;
     }
-    pardon(state.suspects, fingerprint);
+    clearAllEvidence(state.suspects, fingerprint);
     ++m_relay.counters().suspectsCleared;
     m_cleared.insert(fingerprint);
     if (recorded) {
@@ -148,7 +148,7 @@
     const auto &endpoints = m_relay.state().endpoints.endpoints;
     const auto found = endpoints.find(endpoint);
     if (found == endpoints.end()
-        || verdictOn(m_relay.state().suspects, fingerprint, Relay::now()) == Verdict::Unsuspected) {
+        || verdictFor(m_relay.state().suspects, fingerprint, Relay::now()) == Verdict::Unsuspected) {
         return;
     }
     const auto onPort = [this, fingerprint](ProbeOutcome outcome) {
@@ -176,7 +176,7 @@
 void SuspectKeeper::step()
 {
     const TimePoint now = Relay::now();
-    forgetOldSuspects(m_relay.state().suspects, now);
+    removeExpiredSuspects(m_relay.state().suspects, now);
     if (m_labels.size() >= m_options.maxLabels) {
         m_labels.clear();
     }
@@ -188,8 +188,8 @@
         it = now >= it->second + m_options.copyLag ? m_clearedAt.erase(it) : std::next(it);
     }
     for (auto it = m_judged.begin(); it != m_judged.end();) {
-        const bool over =
-            m_records.count(it->first) == 0 && refusedFor(m_relay.state().suspects, it->first, now) == Duration::zero();
+        const bool over = m_records.count(it->first) == 0
+            && remainingRefusal(m_relay.state().suspects, it->first, now) == Duration::zero();
         it = over ? m_judged.erase(it) : std::next(it);
     }
     if (!m_relay.state().platformInReach) {
@@ -203,16 +203,16 @@
     }
     for (auto it = m_records.begin(); it != m_records.end();) {
         const auto &[fingerprint, known] = *it;
-        const auto sound = soundDeaths(m_relay.state().suspects, fingerprint);
+        const auto sound = attributableDeaths(m_relay.state().suspects, fingerprint);
         // One that shared its deaths with another may be told apart now that the other has been answered.
-        if (!sound.empty() && now >= sound.back()->at + m_options.suspects.settle) {
+        if (!sound.empty() && now >= sound.back()->at + m_options.suspects.coincidenceWindow) {
             judgeNow(fingerprint);
         }
         const bool unused = known.revision == 0 && !known.writing && sound.empty();
         it = unused ? m_records.erase(it) : std::next(it);
     }
     for (const auto &[fingerprint, known] : m_records) {
-        if (known.revision != 0 && now > known.seenAt + m_options.suspects.memory) {
+        if (known.revision != 0 && now > known.seenAt + m_options.suspects.retention) {
             remove(fingerprint);
             return;
         }
@@ -222,8 +222,8 @@
 void SuspectKeeper::logRequest(std::string_view event, std::uint64_t fingerprint)
 {
     const SuspectRecord record = recordOf(fingerprint);
-    const std::string text = fingerprintText(fingerprint);
-    const Duration refused = refusedFor(m_relay.state().suspects, fingerprint, Relay::now());
+    const std::string text = formatFingerprint(fingerprint);
+    const Duration refused = remainingRefusal(m_relay.state().suspects, fingerprint, Relay::now());
     m_relay.log().write(
         event,
         {{"request", std::string_view(text)},
--- a/godwit/daemon/suspect_records.cpp
+++ b/godwit/daemon/suspect_records.cpp
@@ -10,7 +10,7 @@
 {
 
 // With so many deaths a request is worth a record: the next run of it is a trial.
-std::size_t deathsToRecord(const SuspectBook &book)
+std::size_t deathsToRecord(const SuspectTracker &book)
 {
     return book.options.deathsToConvict - 1;
 }
@@ -19,10 +19,10 @@
 
 void SuspectKeeper::keepRecord(std::uint64_t fingerprint)
 {
-    const SuspectBook &book = m_relay.state().suspects;
+    const SuspectTracker &book = m_relay.state().suspects;
     const auto found = m_records.find(fingerprint);
     const bool recorded = found != m_records.end() && found->second.revision != 0;
-    const bool worthIt = soundDeaths(book, fingerprint).size() >= deathsToRecord(book);
+    const bool worthIt = attributableDeaths(book, fingerprint).size() >= deathsToRecord(book);
     if (!recorded && !worthIt) {
         return;
     }
@@ -53,7 +53,7 @@
 
 SuspectRecord SuspectKeeper::recordOf(std::uint64_t fingerprint)
 {
-    const SuspectBook &book = m_relay.state().suspects;
+    const SuspectTracker &book = m_relay.state().suspects;
     SuspectRecord record;
     const auto known = m_records.find(fingerprint);
     if (known != m_records.end() && known->second.revision != 0) {
@@ -62,12 +62,12 @@
         record.label = label->second;
     }
     record.deaths.clear();
-    for (const EndpointDeath *death : soundDeaths(book, fingerprint)) {
+    for (const EndpointDeath *death : attributableDeaths(book, fingerprint)) {
         record.deaths.push_back({death->endpoint,
                                  runTime(*death, fingerprint).value_or(Duration::zero()),
-                                 isTrialOf(book, *death, fingerprint)});
+                                 isIsolatedTrial(book, *death, fingerprint)});
     }
-    record.convicted = refusedFor(book, fingerprint, Relay::now()) > Duration::zero();
+    record.convicted = remainingRefusal(book, fingerprint, Relay::now()) > Duration::zero();
     const auto own = m_ownTrials.find(fingerprint);
     if (own != m_ownTrials.end()) {
         record.trial = SuspectTrial{m_options.self, own->second};
@@ -168,24 +168,24 @@
     taken.revision = item.revision;
     taken.seenAt = now;
     taken.ownWrite = false;
-    SuspectBook &book = m_relay.state().suspects;
+    SuspectTracker &book = m_relay.state().suspects;
     // Before all that comes from here on, and one after another.
-    TimePoint at = now - book.options.settle;
+    TimePoint at = now - book.options.coincidenceWindow;
     for (auto death = record->deaths.rbegin(); death != record->deaths.rend(); ++death) {
         at -= std::chrono::seconds(1);
-        InFlight run;
-        run.certain = true;
+        InFlightRun run;
+        run.alwaysAttributed = true;
         run.trial = death->trial;
         if (death->ranFor > Duration::zero()) {
             run.sentAt = at - death->ranFor;
         }
-        if (!hadPartInDeathOf(book, fingerprint, death->endpoint, {})) {
-            noteSuspect(book, {death->endpoint, {}, {}, at, {}}, fingerprint, run);
+        if (!wasInFlightAtDeathOf(book, fingerprint, death->endpoint, {})) {
+            recordSuspect(book, {death->endpoint, {}, {}, at, {}}, fingerprint, run);
         }
         at -= death->ranFor;
     }
-    if (record->convicted && refusedFor(book, fingerprint, now) == Duration::zero()) {
-        recordConviction(book, fingerprint, now + termFor(book, fingerprint));
+    if (record->convicted && remainingRefusal(book, fingerprint, now) == Duration::zero()) {
+        recordConviction(book, fingerprint, now + refusalDurationFor(book, fingerprint));
         noteJudged(fingerprint);
     }
 }
@@ -195,7 +195,7 @@
     std::map<std::uint64_t, std::uint64_t> revisions;
     for (const auto &[key, item] : items) {
         m_firstDeaths.onItem(item);
-        if (const auto fingerprint = fingerprintOf(key.substr(std::min(key.size(), m_options.prefix.size())))) {
+        if (const auto fingerprint = parseFingerprint(key.substr(std::min(key.size(), m_options.prefix.size())))) {
             revisions[*fingerprint] = item.revision;
             if (!wasClearedLately(*fingerprint)) {
                 take(*fingerprint, item);
@@ -214,7 +214,7 @@
     for (const std::uint64_t fingerprint : gone) {
         // An operator or another router has lifted it.
         logRequest("suspect_lifted", fingerprint);
-        pardon(m_relay.state().suspects, fingerprint);
+        clearAllEvidence(m_relay.state().suspects, fingerprint);
         forgetRecord(fingerprint, m_records.at(fingerprint).revision);
     }
     noteTrialEndpoints();
@@ -241,7 +241,7 @@
 
 std::string SuspectKeeper::keyOf(std::uint64_t fingerprint) const
 {
-    return m_options.prefix + fingerprintText(fingerprint);
+    return m_options.prefix + formatFingerprint(fingerprint);
 }
 
 } // namespace Godwit
--- a/godwit/daemon/suspect_trials.cpp
+++ b/godwit/daemon/suspect_trials.cpp
@@ -73,11 +73,11 @@
         return Relay::now() >= known.seenAt + m_options.trialLimit;
     }
     // Its router has told nothing, and the endpoint is no more.
-    SuspectBook &book = m_relay.state().suspects;
-    noteSuspect(book,
-                {trial->endpoint, {}, {}, Relay::now(), {}},
-                fingerprint,
-                {std::nullopt, book.hearsFleet, book.hearsFleet});
+    SuspectTracker &book = m_relay.state().suspects;
+    recordSuspect(book,
+                  {trial->endpoint, {}, {}, Relay::now(), {}},
+                  fingerprint,
+                  {std::nullopt, book.connectedToPeers, book.connectedToPeers});
     keepRecord(fingerprint);
     judgeLater({fingerprint});
     return false;
--- a/godwit/relay/relay.h
+++ b/godwit/relay/relay.h
@@ -26,7 +26,7 @@
 #include "godwit/relay/send_record.h"
 #include "godwit/suspects/recent_answers.h"
 #include "godwit/suspects/suspect_record.h"
-#include "godwit/suspects/suspects.h"
+#include "godwit/suspects/suspect_tracker.h"
 
 #include <boost/asio/io_context.hpp>
 
@@ -113,7 +113,7 @@
     CopyAgreement documentAgreement;
     CrashWatch crashWatch;
     RecentAnswers recentAnswers;
-    SuspectBook suspects; // Requests under which endpoints died.
+    SuspectTracker suspects; // Requests under which endpoints died.
     std::set<EndpointId> trialEndpoints; // Where suspects are being tried, by any router.
 };
 
--- a/godwit/relay/relay_call.cpp
+++ b/godwit/relay/relay_call.cpp
@@ -153,7 +153,7 @@
         refuseSuspect();
         return;
     }
-    if (admission == Admission::NotYet) {
+    if (admission == Admission::Deferred) {
         refuseForNow();
         return;
     }
--- a/godwit/relay/relay_call_repeats.cpp
+++ b/godwit/relay/relay_call_repeats.cpp
@@ -80,7 +80,7 @@
 void RelayCall::tryAgain(const std::string &cause, bool reachedEndpoint)
 {
     ++m_relay.counters().attemptsFailed[cause];
-    const std::string request = fingerprintText(m_fingerprint.value_or(0));
+    const std::string request = formatFingerprint(m_fingerprint.value_or(0));
     m_relay.log().write("attempt_failed",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"endpoint", std::string_view(m_endpoint.value)},
--- a/godwit/relay/relay_call_suspects.cpp
+++ b/godwit/relay/relay_call_suspects.cpp
@@ -36,7 +36,7 @@
     }
     const bool declared = extentOf(*m_ending) == AnswerExtent::Declared;
     if (declared) {
-        noteAnswer(state.recentAnswers, fingerprint(), Relay::now());
+        recordAnswer(state.recentAnswers, fingerprint(), Relay::now());
     }
     if (state.suspects.deathCount.empty() && state.crashWatch.cuts.empty()) {
         return;
@@ -51,11 +51,11 @@
 
 Admission RelayCall::admissionNow()
 {
-    const SuspectBook &book = m_relay.state().suspects;
+    const SuspectTracker &book = m_relay.state().suspects;
     if (book.deathCount.empty() && book.refusedUntil.empty()) {
-        return Admission::Free;
+        return Admission::Unrestricted;
     }
-    return admissionOf(book, fingerprint(), Relay::now());
+    return admissionFor(book, fingerprint(), Relay::now());
 }
 
 void RelayCall::refuseSuspect()
@@ -67,7 +67,7 @@
     } else {
         refuse(ErrorKind::SuspectRequest,
                "endpoints died each time that they ran this request",
-               refusedFor(m_relay.state().suspects, fingerprint(), Relay::now()));
+               remainingRefusal(m_relay.state().suspects, fingerprint(), Relay::now()));
     }
 }
 
@@ -76,7 +76,8 @@
     const RelayState &state = m_relay.state();
     const auto listed = state.endpoints.byService.find(m_serviceName);
     return listed == state.endpoints.byService.end()
-        || canSpareTrial(state.suspects, fingerprint(), listed->second, m_relay.options().trialPatience, Relay::now());
+        || hasSpareEndpointForTrial(
+               state.suspects, fingerprint(), listed->second, m_relay.options().trialPatience, Relay::now());
 }
 
 // It may only be tried by itself, and that is not possible now.
--- a/godwit/relay/send_record.cpp
+++ b/godwit/relay/send_record.cpp
@@ -25,7 +25,7 @@
     if (send.sends == 1 && send.deaths == 0) {
         return;
     }
-    const std::string request = fingerprintText(send.fingerprint);
+    const std::string request = formatFingerprint(send.fingerprint);
     relay.log().write("sent_again",
                       {{"id", std::string_view(send.attempt)},
                        {"service", std::string_view(send.service)},
--- a/godwit/routing/call_flow.cpp
+++ b/godwit/routing/call_flow.cpp
@@ -301,7 +301,7 @@
     } else if (kind == ErrorKind::NoEndpoint) {
         error.retryAfter = NoEndpointRetryAfter;
     } else if (kind == ErrorKind::SuspectRequest) {
-        error.retryAfter = refusedFor(step.state.suspects, call.pending.fingerprint, step.now);
+        error.retryAfter = remainingRefusal(step.state.suspects, call.pending.fingerprint, step.now);
     }
     forgetCall(step, id);
     refuseCall(step, id, std::move(error));
--- a/godwit/routing/crash_flow.cpp
+++ b/godwit/routing/crash_flow.cpp
@@ -41,7 +41,7 @@
     SuspectNotice notice;
     notice.fingerprint = fingerprint;
     notice.status = SuspectStatus::Convicted;
-    notice.refuseFor = refusedFor(step.state.suspects, fingerprint, step.now);
+    notice.refuseFor = remainingRefusal(step.state.suspects, fingerprint, step.now);
     step.out.emplace_back(TellSuspect{std::move(notice)});
 }
 
@@ -94,15 +94,15 @@
 void suspectCall(Step &step, RoutedEndpoint &endpoint, const RoutedCall &call)
 {
     auto &state = step.state;
-    if (!endpoint.dying || step.now > endpoint.diedAt + state.options.suspects.settle) {
+    if (!endpoint.dying || step.now > endpoint.diedAt + state.options.suspects.coincidenceWindow) {
         endpoint.dying = true;
         endpoint.diedAt = step.now;
         endpoint.noticesTold = 0;
-        addTimer(step, step.now + state.options.suspects.settle, TimerKind::JudgeDeath, call.endpoint);
+        addTimer(step, step.now + state.options.suspects.coincidenceWindow, TimerKind::JudgeDeath, call.endpoint);
     }
     const auto death = deathOf(endpoint, endpoint.diedAt);
     const auto fingerprint = call.pending.fingerprint;
-    if (!noteSuspect(state.suspects, death, fingerprint)) {
+    if (!recordSuspect(state.suspects, death, fingerprint)) {
         return;
     }
     // When a data centre goes, thousands of calls fail at once: telling them all would flood the routers, and the
@@ -118,7 +118,7 @@
 std::optional<TimePoint> trialAt(Step &step, const RoutedCall &call)
 {
     const auto &state = step.state;
-    const auto deaths = deathsOf(state.suspects, call.pending.fingerprint);
+    const auto deaths = deathsInvolving(state.suspects, call.pending.fingerprint);
     if (deaths.empty()) {
         return std::nullopt;
     }
@@ -127,7 +127,7 @@
         return std::nullopt;
     }
     if (deaths.size() >= DeathsToConvict) {
-        return last.at + state.options.suspects.settle;
+        return last.at + state.options.suspects.coincidenceWindow;
     }
     const auto rank = suspectRank(state.suspects, call.pending.fingerprint);
     const auto candidates = std::max<std::size_t>(1, suspectCandidates(state, call, step.now));
@@ -170,7 +170,7 @@
         return std::nullopt;
     }
     if (step.state.options.faults.noIsolation
-        && deathsOf(step.state.suspects, call.pending.fingerprint).size() < DeathsToConvict) {
+        && deathsInvolving(step.state.suspects, call.pending.fingerprint).size() < DeathsToConvict) {
         return std::nullopt;
     }
     return trialAt(step, call);
@@ -179,7 +179,7 @@
 bool refuseIfConvicted(Step &step, const RoutedCall &call)
 {
     const auto fingerprint = call.pending.fingerprint;
-    if (verdictOn(step.state.suspects, fingerprint, step.now) != Verdict::Convicted) {
+    if (verdictFor(step.state.suspects, fingerprint, step.now) != Verdict::Convicted) {
         return false;
     }
     ++step.state.counters.refusedSuspects;
@@ -227,7 +227,7 @@
     call.avoid.push_back(call.endpoint);
     const bool knownDown = endpoint.breakerOpen;
     if (noteConnectFailure(endpoint, state.options, step.now) && !knownDown) {
-        noteUnrelatedDeath(state.suspects, deathOf(endpoint, step.now));
+        recordUnrelatedDeath(state.suspects, deathOf(endpoint, step.now));
     }
     retryOrEnd(step, id);
 }
@@ -262,11 +262,11 @@
 {
     const auto fingerprint = call.pending.fingerprint;
     std::vector<EndpointDeath> deaths;
-    for (const auto *death : deathsOf(step.state.suspects, fingerprint)) {
+    for (const auto *death : deathsInvolving(step.state.suspects, fingerprint)) {
         deaths.push_back(*death);
     }
     for (const auto &death : deaths) {
-        clearSuspect(step.state.suspects, death.endpoint, fingerprint);
+        clearEvidenceAt(step.state.suspects, death.endpoint, fingerprint);
         step.out.emplace_back(TellSuspect{noticeOf(step, death, fingerprint, SuspectStatus::Cleared)});
     }
 }
@@ -281,14 +281,14 @@
     auto &call = found->second;
     const auto route = call.route;
     const auto fingerprint = call.pending.fingerprint;
-    const bool wasConvicted = verdictOn(step.state.suspects, fingerprint, step.now) == Verdict::Convicted;
-    if (!wasConvicted && judge(step.state.suspects, fingerprint, step.now) == Verdict::Convicted) {
+    const bool wasConvicted = verdictFor(step.state.suspects, fingerprint, step.now) == Verdict::Convicted;
+    if (!wasConvicted && evaluateSuspect(step.state.suspects, fingerprint, step.now) == Verdict::Convicted) {
         tellConviction(step, fingerprint);
     }
     if (refuseIfConvicted(step, call)) {
         return;
     }
-    const auto *last = lastDeathOf(step.state.suspects, fingerprint);
+    const auto *last = lastDeathInvolving(step.state.suspects, fingerprint);
     call.suspect = last && !isWidespreadFailure(step.state.suspects, last->at);
     sendAgain(step, call);
     pumpRoute(step, route);
@@ -298,7 +298,7 @@
 {
     auto &state = step.state;
     auto &endpoint = state.endpoints[index];
-    if (!endpoint.dying || step.now < endpoint.diedAt + state.options.suspects.settle) {
+    if (!endpoint.dying || step.now < endpoint.diedAt + state.options.suspects.coincidenceWindow) {
         return;
     }
     endpoint.dying = false;
@@ -311,10 +311,10 @@
         closeBreaker(endpoint);
     }
     if (survivors || isWidespreadFailure(state.suspects, endpoint.diedAt)) {
-        const auto cleared = clearDeath(state.suspects, processOf(endpoint.spec), endpoint.diedAt);
+        const auto cleared = retractDeath(state.suspects, processOf(endpoint.spec), endpoint.diedAt);
         clearFingerprints(step, endpoint, endpoint.diedAt, cleared);
         if (!survivors) {
-            noteUnrelatedDeath(state.suspects, deathOf(endpoint, endpoint.diedAt));
+            recordUnrelatedDeath(state.suspects, deathOf(endpoint, endpoint.diedAt));
         }
     }
 }
--- a/godwit/routing/endpoint_choice.cpp
+++ b/godwit/routing/endpoint_choice.cpp
@@ -177,7 +177,7 @@
         const auto &endpoint = state.endpoints[index];
         const bool open = availabilityOf(state, endpoint, now) != Availability::Closed;
         const auto &spec = endpoint.spec;
-        if (open && !hadPartInDeathOf(state.suspects, call.pending.fingerprint, processOf(spec), spec.host)) {
+        if (open && !wasInFlightAtDeathOf(state.suspects, call.pending.fingerprint, processOf(spec), spec.host)) {
             candidates.push_back(index);
         }
     }
@@ -196,7 +196,7 @@
                                       TimePoint now)
 {
     const auto fingerprint = call.pending.fingerprint;
-    const auto *death = lastDeathOf(state.suspects, fingerprint);
+    const auto *death = lastDeathInvolving(state.suspects, fingerprint);
     const auto suspects = death ? death->fingerprints.size() : 0;
     const auto rank = suspectRank(state.suspects, fingerprint);
     std::vector<std::uint32_t> order = {candidates[rank % candidates.size()]};
--- a/godwit/routing/routing.cpp
+++ b/godwit/routing/routing.cpp
@@ -181,7 +181,7 @@
         for (auto &route : step.state.routes) {
             forgetIdleCustomers(route.queue);
         }
-        forgetOldSuspects(step.state.suspects, step.now);
+        removeExpiredSuspects(step.state.suspects, step.now);
         addTimer(step, step.now + HousekeepingInterval, TimerKind::Housekeeping, 0);
         return;
     }
@@ -255,7 +255,7 @@
     state.retryAllowance = options.retryBurst;
     state.suspects.options = options.suspects;
     if (options.faults.ignoreHostFailures) {
-        state.suspects.options.unrelatedDeaths = SIZE_MAX - 1;
+        state.suspects.options.unrelatedDeathsThreshold = SIZE_MAX - 1;
     }
     state.options = std::move(options);
     return state;
@@ -312,7 +312,8 @@
     call.route = route->second;
     call.queuedUntil = std::min(pending.deadline, now + state.options.maxQueueWait);
     call.pending = std::move(pending);
-    if (const auto refused = refusedFor(state.suspects, call.pending.fingerprint, now); refused > Duration::zero()) {
+    if (const auto refused = remainingRefusal(state.suspects, call.pending.fingerprint, now);
+        refused > Duration::zero()) {
         ++state.counters.refusedSuspects;
         refuseCall(step,
                    id,
@@ -403,10 +404,10 @@
     const EndpointDeath death{notice.endpoint, notice.host, notice.dataCentre, now - notice.age, {}};
     switch (notice.status) {
     case SuspectStatus::Suspected:
-        noteSuspect(state.suspects, death, notice.fingerprint);
+        recordSuspect(state.suspects, death, notice.fingerprint);
         return;
     case SuspectStatus::Cleared:
-        clearSuspect(state.suspects, notice.endpoint, notice.fingerprint);
+        clearEvidenceAt(state.suspects, notice.endpoint, notice.fingerprint);
         return;
     case SuspectStatus::Convicted:
         recordConviction(
--- a/godwit/routing/routing_state.h
+++ b/godwit/routing/routing_state.h
@@ -8,7 +8,7 @@
 #include "godwit/routing/fair_queue.h"
 #include "godwit/routing/load_report.h"
 #include "godwit/routing/prefix_index.h"
-#include "godwit/suspects/suspects.h"
+#include "godwit/suspects/suspect_tracker.h"
 
 #include <array>
 #include <cstddef>
@@ -301,7 +301,7 @@
     std::unordered_map<RouteId, std::uint32_t> routeIndex;
     std::unordered_map<CallId, internal::RoutedCall> calls;
     std::set<internal::Timer> timers;
-    SuspectBook suspects;
+    SuspectTracker suspects;
     double retryAllowance = 0;
     std::size_t queued = 0;
     std::size_t inFlight = 0;
--- a/godwit/suspects/first_deaths.cpp
+++ b/godwit/suspects/first_deaths.cpp
@@ -15,21 +15,21 @@
 using nlohmann::json;
 
 constexpr std::size_t MaxDeaths = 128; // Some 8 KB.
-constexpr std::size_t MaxOfEndpoint = 32;
+constexpr std::size_t MaxDeathsPerEndpoint = 32;
 constexpr Duration MaxAge = std::chrono::minutes(10);
-constexpr std::int64_t MostMilliseconds = 86'400'000; // A day: more is not believed.
+constexpr std::int64_t MaxMilliseconds = 86'400'000; // A day: more is not believed.
 
-Duration believed(const json &value)
+Duration readDuration(const json &value)
 {
-    return std::chrono::milliseconds(std::clamp<std::int64_t>(value.get<std::int64_t>(), 0, MostMilliseconds));
+    return std::chrono::milliseconds(std::clamp<std::int64_t>(value.get<std::int64_t>(), 0, MaxMilliseconds));
 }
 
 // Of one endpoint, the shortest runs first.
-std::vector<FirstDeath> firstDeathsOf(const SuspectBook &book, const EndpointDeath &death, TimePoint now)
+std::vector<FirstDeath> firstDeathsAt(const SuspectTracker &tracker, const EndpointDeath &death, TimePoint now)
 {
     std::vector<FirstDeath> deaths;
     for (const std::uint64_t fingerprint : death.fingerprints) {
-        if (book.deathCount.at(fingerprint) == 1 || soundDeaths(book, fingerprint).size() == 1) {
+        if (tracker.deathCount.at(fingerprint) == 1 || attributableDeaths(tracker, fingerprint).size() == 1) {
             const Duration ranFor = runTime(death, fingerprint).value_or(Duration::zero());
             deaths.push_back({fingerprint, death.endpoint, ranFor, now - death.at});
         }
@@ -37,21 +37,21 @@
     std::stable_sort(deaths.begin(), deaths.end(), [](const FirstDeath &a, const FirstDeath &b) {
         return a.ranFor < b.ranFor;
     });
-    deaths.resize(std::min(deaths.size(), MaxOfEndpoint));
+    deaths.resize(std::min(deaths.size(), MaxDeathsPerEndpoint));
     return deaths;
 }
 
 } // namespace
 
-std::vector<FirstDeath> firstDeathsIn(const SuspectBook &book, TimePoint now)
+std::vector<FirstDeath> collectFirstDeaths(const SuspectTracker &tracker, TimePoint now)
 {
     std::vector<FirstDeath> all;
-    for (auto death = book.deaths.rbegin(); death != book.deaths.rend() && all.size() < MaxDeaths; ++death) {
+    for (auto death = tracker.deaths.rbegin(); death != tracker.deaths.rend() && all.size() < MaxDeaths; ++death) {
         if (death->at + MaxAge < now) {
             break;
         }
-        if (!isWidespreadFailure(book, death->at)) {
-            const auto deaths = firstDeathsOf(book, *death, now);
+        if (!isWidespreadFailure(tracker, death->at)) {
+            const auto deaths = firstDeathsAt(tracker, *death, now);
             all.insert(all.end(), deaths.begin(), deaths.end());
         }
     }
@@ -63,10 +63,10 @@
 {
     json list = json::array();
     for (const FirstDeath &death : deaths) {
-        list.push_back(json::array({fingerprintText(death.fingerprint),
+        list.push_back(json::array({formatFingerprint(death.fingerprint),
                                     death.endpoint.value,
                                     toMilliseconds(death.ranFor),
-                                    toMilliseconds(death.ago)}));
+                                    toMilliseconds(death.age)}));
     }
     return json{{"deaths", std::move(list)}}.dump(-1, ' ', true, json::error_handler_t::replace);
 }
@@ -80,14 +80,14 @@
     try {
         std::vector<FirstDeath> deaths;
         for (const json &entry : value.at("deaths")) {
-            const auto fingerprint = fingerprintOf(entry.at(0).get<std::string>());
+            const auto fingerprint = parseFingerprint(entry.at(0).get<std::string>());
             if (!fingerprint || deaths.size() >= MaxDeaths) {
                 return std::nullopt;
             }
             deaths.push_back({*fingerprint,
                               EndpointId{entry.at(1).get<std::string>()},
-                              believed(entry.at(2)),
-                              believed(entry.at(3))});
+                              readDuration(entry.at(2)),
+                              readDuration(entry.at(3))});
         }
         return deaths;
     } catch (const json::exception &) {
@@ -95,18 +95,18 @@
     }
 }
 
-void noteFirstDeath(SuspectBook &book, const FirstDeath &death, TimePoint now)
+void recordFirstDeath(SuspectTracker &tracker, const FirstDeath &death, TimePoint now)
 {
-    if (hadPartInDeathOf(book, death.fingerprint, death.endpoint, {})) {
+    if (wasInFlightAtDeathOf(tracker, death.fingerprint, death.endpoint, {})) {
         return;
     }
     // Before all that comes from here on, and as far from each other as they were.
-    const TimePoint at = now - book.options.settle - death.ago;
-    InFlight run;
+    const TimePoint at = now - tracker.options.coincidenceWindow - death.age;
+    InFlightRun run;
     if (death.ranFor > Duration::zero()) {
         run.sentAt = at - death.ranFor;
     }
-    noteSuspect(book, {death.endpoint, {}, {}, at, {}}, death.fingerprint, run);
+    recordSuspect(tracker, {death.endpoint, {}, {}, at, {}}, death.fingerprint, run);
 }
 
 } // namespace Godwit
--- a/godwit/suspects/first_deaths.h
+++ b/godwit/suspects/first_deaths.h
@@ -12,7 +12,7 @@
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
-#include "godwit/suspects/suspects.h"
+#include "godwit/suspects/suspect_tracker.h"
 
 #include <cstdint>
 #include <optional>
@@ -27,12 +27,12 @@
     std::uint64_t fingerprint = 0;
     EndpointId endpoint;
     Duration ranFor{}; // How long the request had been there; zero where that is not known.
-    Duration ago{}; // Since the death, when the value was made.
+    Duration age{}; // Since the death, when the value was made.
 };
 
 // Of requests that one endpoint died under: the latest deaths, and of each the runs that were shortest. What took part
 // in a failure of many endpoints is left out.
-std::vector<FirstDeath> firstDeathsIn(const SuspectBook &book, TimePoint now);
+std::vector<FirstDeath> collectFirstDeaths(const SuspectTracker &tracker, TimePoint now);
 
 std::string encodeFirstDeaths(const std::vector<FirstDeath> &deaths);
 
@@ -40,6 +40,6 @@
 std::optional<std::vector<FirstDeath>> decodeFirstDeaths(const std::string &text);
 
 // Notes a death that another process saw, unless it is known.
-void noteFirstDeath(SuspectBook &book, const FirstDeath &death, TimePoint now);
+void recordFirstDeath(SuspectTracker &tracker, const FirstDeath &death, TimePoint now);
 
 } // namespace Godwit
--- a/godwit/suspects/recent_answers.h
+++ b/godwit/suspects/recent_answers.h
@@ -20,13 +20,13 @@
 
 struct RecentAnswers
 {
-    Duration kept = std::chrono::seconds(5);
+    Duration retention = std::chrono::seconds(5);
     std::size_t maxAnswers = 8192;
-    std::unordered_map<std::uint64_t, TimePoint> lastOf;
+    std::unordered_map<std::uint64_t, TimePoint> lastAnswerTimes;
     std::deque<std::pair<TimePoint, std::uint64_t>> byTime;
 };
 
-void noteAnswer(RecentAnswers &answers, std::uint64_t fingerprint, TimePoint now);
+void recordAnswer(RecentAnswers &answers, std::uint64_t fingerprint, TimePoint now);
 
 bool wasAnsweredSince(const RecentAnswers &answers, std::uint64_t fingerprint, TimePoint since);
 
--- a/godwit/suspects/suspect_admission.cpp
+++ b/godwit/suspects/suspect_admission.cpp
@@ -5,39 +5,39 @@
 namespace Godwit
 {
 
-Admission admissionOf(const SuspectBook &book, std::uint64_t fingerprint, TimePoint now)
+Admission admissionFor(const SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now)
 {
-    switch (verdictOn(book, fingerprint, now)) {
+    switch (verdictFor(tracker, fingerprint, now)) {
     case Verdict::Unsuspected:
-        return Admission::Free;
+        return Admission::Unrestricted;
     case Verdict::Convicted:
         return Admission::Refused;
     case Verdict::Suspected:
         break;
     }
-    const auto sound = soundDeaths(book, fingerprint);
-    if (sound.size() + 1 < book.options.deathsToConvict) {
-        return Admission::Free;
+    const auto attributable = attributableDeaths(tracker, fingerprint);
+    if (attributable.size() + 1 < tracker.options.deathsToConvict) {
+        return Admission::Unrestricted;
     }
-    const bool waitsForFleet = !book.hearsFleet && sound.size() >= book.options.deathsToConvict;
-    const Duration wait = waitsForFleet ? book.options.firstRefuseFor : book.options.settle;
-    return now < sound.back()->at + wait ? Admission::NotYet : Admission::Trial;
+    const bool waitsForPeers = !tracker.connectedToPeers && attributable.size() >= tracker.options.deathsToConvict;
+    const Duration wait = waitsForPeers ? tracker.options.firstRefuseFor : tracker.options.coincidenceWindow;
+    return now < attributable.back()->at + wait ? Admission::Deferred : Admission::Trial;
 }
 
-bool canSpareTrial(const SuspectBook &book,
-                   std::uint64_t fingerprint,
-                   const std::vector<EndpointId> &endpoints,
-                   Duration patience,
-                   TimePoint now)
+bool hasSpareEndpointForTrial(const SuspectTracker &tracker,
+                              std::uint64_t fingerprint,
+                              const std::vector<EndpointId> &endpoints,
+                              Duration maxWait,
+                              TimePoint now)
 {
-    constexpr std::ptrdiff_t enough = 2;
-    const auto alive = std::count_if(endpoints.begin(), endpoints.end(), [&book](const EndpointId &endpoint) {
-        return std::none_of(book.deaths.begin(), book.deaths.end(), [&endpoint](const EndpointDeath &death) {
+    constexpr std::ptrdiff_t minLiveEndpoints = 2;
+    const auto alive = std::count_if(endpoints.begin(), endpoints.end(), [&tracker](const EndpointId &endpoint) {
+        return std::none_of(tracker.deaths.begin(), tracker.deaths.end(), [&endpoint](const EndpointDeath &death) {
             return death.endpoint == endpoint;
         });
     });
-    const EndpointDeath *last = lastDeathOf(book, fingerprint);
-    return alive >= enough || last == nullptr || now >= last->at + patience;
+    const EndpointDeath *last = lastDeathInvolving(tracker, fingerprint);
+    return alive >= minLiveEndpoints || last == nullptr || now >= last->at + maxWait;
 }
 
 } // namespace Godwit
--- a/godwit/suspects/suspect_admission.h
+++ b/godwit/suspects/suspect_admission.h
@@ -6,7 +6,7 @@
 // other suspect is tried. So each further death speaks against one request alone, and there are no more of them than it
 // takes to be sure.
 
-#include "godwit/suspects/suspects.h"
+#include "godwit/suspects/suspect_tracker.h"
 
 #include <vector>
 
@@ -14,21 +14,21 @@
 {
 
 enum class Admission {
-    Free,
+    Unrestricted,
     Trial, // Only as the fleet's one run of it.
-    NotYet, // Its last death may still turn out to be part of a larger failure, or others may know better.
+    Deferred, // Its last death may still turn out to be part of a larger failure, or others may know better.
     Refused, // Convicted.
 };
 
-Admission admissionOf(const SuspectBook &book, std::uint64_t fingerprint, TimePoint now);
+Admission admissionFor(const SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now);
 
 // Whether the service can spare an endpoint for a trial. Of `endpoints`, those that it lists, one more must be alive:
 // else a request that takes down each one that it runs on would leave none for all others. After `patience` since its
 // last death it is tried all the same, since some services never have two.
-bool canSpareTrial(const SuspectBook &book,
-                   std::uint64_t fingerprint,
-                   const std::vector<EndpointId> &endpoints,
-                   Duration patience,
-                   TimePoint now);
+bool hasSpareEndpointForTrial(const SuspectTracker &tracker,
+                              std::uint64_t fingerprint,
+                              const std::vector<EndpointId> &endpoints,
+                              Duration maxWait,
+                              TimePoint now);
 
 } // namespace Godwit
--- a/godwit/suspects/suspect_codec.cpp
+++ b/godwit/suspects/suspect_codec.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t MaxNoticeBytes = 2048;
 constexpr std::size_t FieldCount = 7;
-constexpr std::size_t LongFieldCount = 9; // With what a router that tells of runs adds.
+constexpr std::size_t ExtendedFieldCount = 9; // With what a router that tells of runs adds.
 constexpr std::size_t MaxNoticesBytes = 256UL * 1024;
 constexpr std::int64_t UnknownDuration = -1;
 constexpr std::int64_t MaxMicroseconds = 86'400'000'000; // A day: more is not believed.
@@ -54,7 +54,7 @@
 
 std::optional<SuspectNotice> fromRow(const nlohmann::json &fields)
 {
-    if (!fields.is_array() || (fields.size() != FieldCount && fields.size() != LongFieldCount)
+    if (!fields.is_array() || (fields.size() != FieldCount && fields.size() != ExtendedFieldCount)
         || !fields[0].is_number_integer() || !fields[1].is_number_integer() || !fields[2].is_string()
         || !fields[3].is_string() || !fields[4].is_string()) {
         return std::nullopt;
@@ -66,7 +66,7 @@
         return std::nullopt;
     }
     SuspectNotice notice;
-    if (fields.size() == LongFieldCount) {
+    if (fields.size() == ExtendedFieldCount) {
         if (!fields[7].is_number_integer() || !fields[8].is_boolean()) {
             return std::nullopt;
         }
@@ -83,7 +83,7 @@
     return notice;
 }
 
-std::string toText(const nlohmann::json &value)
+std::string toByteString(const nlohmann::json &value)
 {
     const auto bytes = nlohmann::json::to_cbor(value);
     return {bytes.begin(), bytes.end()};
@@ -93,7 +93,7 @@
 
 std::string encodeSuspectNotice(const SuspectNotice &notice)
 {
-    return toText(toRow(notice));
+    return toByteString(toRow(notice));
 }
 
 std::optional<SuspectNotice> decodeSuspectNotice(const std::string &cbor)
@@ -110,7 +110,7 @@
     for (const SuspectNotice &notice : notices) {
         rows.push_back(toRow(notice));
     }
-    return toText(rows);
+    return toByteString(rows);
 }
 
 std::vector<SuspectNotice> decodeSuspectNotices(const std::string &cbor)
--- a/godwit/suspects/suspect_record.cpp
+++ b/godwit/suspects/suspect_record.cpp
@@ -16,11 +16,11 @@
 
 constexpr std::size_t MaxLabelBytes = 256; // Of one text.
 constexpr std::size_t MaxDeaths = 16;
-constexpr std::int64_t MostRanMilliseconds = 86'400'000; // A day: more is not believed.
+constexpr std::int64_t MaxRunMilliseconds = 86'400'000; // A day: more is not believed.
 constexpr std::size_t FingerprintDigits = 16;
 constexpr int Hexadecimal = 16;
 
-std::string shortened(const std::string &text)
+std::string truncated(const std::string &text)
 {
     return text.substr(0, MaxLabelBytes);
 }
@@ -34,8 +34,8 @@
         const auto ranFor = std::chrono::duration_cast<std::chrono::milliseconds>(record.deaths[i].ranFor);
         deaths.push_back(json::array({record.deaths[i].endpoint.value, ranFor.count(), record.deaths[i].trial}));
     }
-    json value{{"host", shortened(record.label.host)},
-               {"target", shortened(record.label.target)},
+    json value{{"host", truncated(record.label.host)},
+               {"target", truncated(record.label.target)},
                {"customer", record.label.customer.value},
                {"deaths", std::move(deaths)},
                {"convicted", record.convicted}};
@@ -59,7 +59,7 @@
         record.label.customer = CustomerId{value.at("customer").get<std::string>()};
         record.convicted = value.at("convicted").get<bool>();
         for (const json &death : value.at("deaths")) {
-            const auto ranFor = std::clamp<std::int64_t>(death.at(1).get<std::int64_t>(), 0, MostRanMilliseconds);
+            const auto ranFor = std::clamp<std::int64_t>(death.at(1).get<std::int64_t>(), 0, MaxRunMilliseconds);
             // Routers of an earlier version wrote nothing of trials.
             const bool trial = death.size() > 2 && death.at(2).get<bool>();
             record.deaths.push_back(
@@ -76,20 +76,20 @@
     }
 }
 
-std::string fingerprintText(std::uint64_t fingerprint)
+std::string formatFingerprint(std::uint64_t fingerprint)
 {
     std::array<char, FingerprintDigits + 1> digits{};
     std::snprintf(digits.data(), digits.size(), "%016llx", static_cast<unsigned long long>(fingerprint));
     return digits.data();
 }
 
-std::optional<std::uint64_t> fingerprintOf(const std::string &text)
+std::optional<std::uint64_t> parseFingerprint(const std::string &text)
 {
     std::uint64_t fingerprint = 0;
     const char *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, fingerprint, Hexadecimal);
-    const bool whole = text.size() == FingerprintDigits && parsed.ec == std::errc() && parsed.ptr == end;
-    return whole ? std::optional(fingerprint) : std::nullopt;
+    const bool isComplete = text.size() == FingerprintDigits && parsed.ec == std::errc() && parsed.ptr == end;
+    return isComplete ? std::optional(fingerprint) : std::nullopt;
 }
 
 } // namespace Godwit
--- a/godwit/suspects/suspect_record.h
+++ b/godwit/suspects/suspect_record.h
@@ -53,7 +53,7 @@
 std::optional<SuspectRecord> decodeSuspectRecord(const std::string &text);
 
 // A fingerprint as keys and lines have it, sixteen hexadecimal digits, and back.
-std::string fingerprintText(std::uint64_t fingerprint);
-std::optional<std::uint64_t> fingerprintOf(const std::string &text);
+std::string formatFingerprint(std::uint64_t fingerprint);
+std::optional<std::uint64_t> parseFingerprint(const std::string &text);
 
 } // namespace Godwit
--- a/godwit/suspects/suspects.h
+++ b/godwit/suspects/suspect_tracker.h
@@ -31,14 +31,14 @@
 struct SuspectOptions
 {
     // Deaths so close together may have one cause.
-    Duration settle = std::chrono::milliseconds(300);
+    Duration coincidenceWindow = std::chrono::milliseconds(300);
     // How long a death counts against those who were in flight. Longer than refuseFor: a request that comes back after
     // its refusal and crashes a further endpoint is refused again at once.
-    Duration memory = std::chrono::hours(2);
+    Duration retention = std::chrono::hours(2);
     std::size_t deathsToConvict = 2;
     // Whether one of them must be of a trial, with no other suspect at that endpoint. Deaths that routers saw apart may
     // all be of another request, which met this one at each of them.
-    bool trialConvicts = false;
+    bool convictionRequiresTrial = false;
     // How long a fingerprint is refused that was convicted with just so many deaths, and with more; where trials
     // convict, at the first one and at a further one.
     Duration firstRefuseFor = std::chrono::hours(1);
@@ -47,7 +47,7 @@
     int longerRunFactor = 4;
     Duration longerRunSlack = std::chrono::seconds(1);
     // So many deaths at once that a fingerprint had no part in clear it.
-    std::size_t unrelatedDeaths = 2;
+    std::size_t unrelatedDeathsThreshold = 2;
     std::size_t maxDeaths = 256;
     std::size_t maxFingerprints = 20'000;
 };
@@ -63,16 +63,16 @@
     // When the calls were sent that died here, where that is known; the earliest of a fingerprint.
     std::unordered_map<std::uint64_t, TimePoint> sentAt;
     // Of these fingerprints it was a trial, or the death was counted before: no coincidence speaks for them.
-    std::set<std::uint64_t> certain;
+    std::set<std::uint64_t> alwaysAttributed;
     // Of these it was a trial.
-    std::set<std::uint64_t> tried;
+    std::set<std::uint64_t> trialFingerprints;
 };
 
 // How a call came to be in flight at a death.
-struct InFlight
+struct InFlightRun
 {
     std::optional<TimePoint> sentAt;
-    bool certain = false; // As EndpointDeath::certain.
+    bool alwaysAttributed = false; // As EndpointDeath::certain.
     bool trial = false; // As EndpointDeath::tried; such a death is certain.
 };
 
@@ -82,12 +82,12 @@
     Convicted,
 };
 
-struct SuspectBook
+struct SuspectTracker
 {
     SuspectOptions options;
     // Whether what other routers see reaches this one. Without their answers, and while they send it too, a death says
     // little of a request: nobody is convicted, and what looks guilty waits.
-    bool hearsFleet = true;
+    bool connectedToPeers = true;
     // By time; bounded.
     std::deque<EndpointDeath> deaths;
     std::unordered_map<std::uint64_t, TimePoint> refusedUntil;
@@ -97,64 +97,67 @@
 
 // Notes that `fingerprint` was in flight when the endpoint died; joins a death of that endpoint at about that time.
 // Returns whether this was new.
-bool noteSuspect(SuspectBook &book, const EndpointDeath &death, std::uint64_t fingerprint, const InFlight &run = {});
+bool recordSuspect(SuspectTracker &tracker,
+                   const EndpointDeath &death,
+                   std::uint64_t fingerprint,
+                   const InFlightRun &run = {});
 
 // Notes a failure that nobody is suspected of.
-void noteUnrelatedDeath(SuspectBook &book, const EndpointDeath &death);
+void recordUnrelatedDeath(SuspectTracker &tracker, const EndpointDeath &death);
 
 // Takes a death back: the endpoint had not died. Returns the fingerprints that it held.
-std::vector<std::uint64_t> clearDeath(SuspectBook &book, const EndpointId &endpoint, TimePoint at);
+std::vector<std::uint64_t> retractDeath(SuspectTracker &tracker, const EndpointId &endpoint, TimePoint at);
 
 // Takes all deaths of `endpoint` back for one fingerprint.
-void clearSuspect(SuspectBook &book, const EndpointId &endpoint, std::uint64_t fingerprint);
+void clearEvidenceAt(SuspectTracker &tracker, const EndpointId &endpoint, std::uint64_t fingerprint);
 
 // Takes everything back that is held against a fingerprint: an answer of it came whole, or an operator says so.
-void pardon(SuspectBook &book, std::uint64_t fingerprint);
+void clearAllEvidence(SuspectTracker &tracker, std::uint64_t fingerprint);
 
 // What is known by now. Suspected while a death counts against it or is not settled.
-Verdict verdictOn(const SuspectBook &book, std::uint64_t fingerprint, TimePoint now);
+Verdict verdictFor(const SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now);
 
 // Decides on a fingerprint whose last death has settled; a conviction is recorded.
-Verdict judge(SuspectBook &book, std::uint64_t fingerprint, TimePoint now);
+Verdict evaluateSuspect(SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now);
 
 // Records another router's conviction.
-void recordConviction(SuspectBook &book, std::uint64_t fingerprint, TimePoint until);
+void recordConviction(SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint until);
 
 // Whether many endpoints that share no fingerprint died at about `at`.
-bool isWidespreadFailure(const SuspectBook &book, TimePoint at);
+bool isWidespreadFailure(const SuspectTracker &tracker, TimePoint at);
 
 // The latest death that the fingerprint had part in.
-const EndpointDeath *lastDeathOf(const SuspectBook &book, std::uint64_t fingerprint);
+const EndpointDeath *lastDeathInvolving(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
 // Whether the fingerprint had part in a death of this endpoint or of another one of its host.
-bool hadPartInDeathOf(const SuspectBook &book,
-                      std::uint64_t fingerprint,
-                      const EndpointId &endpoint,
-                      const HostId &host);
+bool wasInFlightAtDeathOf(const SuspectTracker &tracker,
+                          std::uint64_t fingerprint,
+                          const EndpointId &endpoint,
+                          const HostId &host);
 
 // The deaths that the fingerprint had part in, the earliest first.
-std::vector<const EndpointDeath *> deathsOf(const SuspectBook &book, std::uint64_t fingerprint);
+std::vector<const EndpointDeath *> deathsInvolving(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
 // The sound deaths of different endpoints that count against it, the earliest first.
-std::vector<const EndpointDeath *> soundDeaths(const SuspectBook &book, std::uint64_t fingerprint);
+std::vector<const EndpointDeath *> attributableDeaths(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
 // Whether the death was of a trial of the fingerprint, in which it was the only suspect.
-bool isTrialOf(const SuspectBook &book, const EndpointDeath &death, std::uint64_t fingerprint);
+bool isIsolatedTrial(const SuspectTracker &tracker, const EndpointDeath &death, std::uint64_t fingerprint);
 
 // How long the earliest call of a fingerprint had been there when the endpoint died, where that is known.
 std::optional<Duration> runTime(const EndpointDeath &death, std::uint64_t fingerprint);
 
 // How long a fingerprint is refused that is convicted by what is known now.
-Duration termFor(const SuspectBook &book, std::uint64_t fingerprint);
+Duration refusalDurationFor(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
 // How long a conviction still holds; zero when there is none.
-Duration refusedFor(const SuspectBook &book, std::uint64_t fingerprint, TimePoint now);
+Duration remainingRefusal(const SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now);
 
 // The place of the fingerprint among all that share its latest death, the most suspected first. Equal at all routers
 // that know the same deaths, so that each suspect can be tried at an endpoint of its own.
-std::size_t suspectRank(const SuspectBook &book, std::uint64_t fingerprint);
+std::size_t suspectRank(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
 // Drops what is too old to count.
-void forgetOldSuspects(SuspectBook &book, TimePoint now);
+void removeExpiredSuspects(SuspectTracker &tracker, TimePoint now);
 
 } // namespace Godwit
