--- a/godwit/suspects/first_deaths.cpp
+++ b/godwit/suspects/first_deaths.cpp
@@ -14,17 +14,17 @@
 
 using nlohmann::json;
 
-constexpr std::size_t MaxDeaths = 128; // Some 8 KB.
+constexpr std::size_t MaxDeaths = 128; // About 8 KB when encoded.
 constexpr std::size_t MaxDeathsPerEndpoint = 32;
 constexpr Duration MaxAge = std::chrono::minutes(10);
-constexpr std::int64_t MaxMilliseconds = 86'400'000; // A day: more is not believed.
+constexpr std::int64_t MaxMilliseconds = 86'400'000; // A day. Longer durations are implausible and clamped.
 
 Duration readDuration(const json &value)
 {
     return std::chrono::milliseconds(std::clamp<std::int64_t>(value.get<std::int64_t>(), 0, MaxMilliseconds));
 }
 
-// Of one endpoint, the shortest runs first.
+// The requests for which `death` is the first one, shortest runs first.
 std::vector<FirstDeath> firstDeathsAt(const SuspectTracker &tracker, const EndpointDeath &death, TimePoint now)
 {
     std::vector<FirstDeath> deaths;
@@ -100,7 +100,7 @@
     if (wasInFlightAtDeathOf(tracker, death.fingerprint, death.endpoint, {})) {
         return;
     }
-    // Before all that comes from here on, and as far from each other as they were.
+    // Earlier than all deaths observed from now on, with the original distances between the stored deaths.
     const TimePoint at = now - tracker.options.coincidenceWindow - death.age;
     InFlightRun run;
     if (death.ranFor > Duration::zero()) {
--- a/godwit/suspects/first_deaths.h
+++ b/godwit/suspects/first_deaths.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// The first death under each request, as one value of the platform's store for the whole fleet. A further death has a
-// record of its own (suspect_record.h). Without this value a request under which all routers ended after each death
-// would never be at its second.
+// Requests that one endpoint died under, as a single value in the platform's store for the whole fleet. A request with
+// more deaths has a record of its own (suspect_record.h). Without this value, a request would never reach its second
+// death if all routers restarted after each death.
 //
-// Pure: time is passed in.
+// Pure functions; time is passed in.
 //
 // Example:
-//   const auto deaths = firstDeathsIn(book, now);
+//   const auto deaths = collectFirstDeaths(tracker, now);
 //   const std::string value = encodeFirstDeaths(deaths);
 
 #include "godwit/base/ids.h"
@@ -26,20 +26,20 @@
 {
     std::uint64_t fingerprint = 0;
     EndpointId endpoint;
-    Duration ranFor{}; // How long the request had been there; zero where that is not known.
-    Duration age{}; // Since the death, when the value was made.
+    Duration ranFor{}; // How long the request had been at the endpoint; zero if unknown.
+    Duration age{}; // Time from the death until the value was encoded.
 };
 
-// Of requests that one endpoint died under: the latest deaths, and of each the runs that were shortest. What took part
-// in a failure of many endpoints is left out.
+// Collects the requests that one endpoint died under: the latest deaths first and, of each death, the shortest runs
+// first. Deaths in a widespread failure are omitted, and the number of entries is bounded.
 std::vector<FirstDeath> collectFirstDeaths(const SuspectTracker &tracker, TimePoint now);
 
 std::string encodeFirstDeaths(const std::vector<FirstDeath> &deaths);
 
-// nullopt for text that is no such value.
+// Returns nullopt for malformed text.
 std::optional<std::vector<FirstDeath>> decodeFirstDeaths(const std::string &text);
 
-// Notes a death that another process saw, unless it is known.
+// Records a death that another process observed, unless it is known already.
 void recordFirstDeath(SuspectTracker &tracker, const FirstDeath &death, TimePoint now);
 
 } // namespace Godwit
--- a/godwit/suspects/recent_answers.h
+++ b/godwit/suspects/recent_answers.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// Which requests were lately answered whole. A request that has just been answered did not crash an endpoint, however
-// many endpoints die under it in the next moments; one that many send would else be condemned with them.
+// Requests that were recently answered completely. A request that has just been answered is not suspected for endpoints
+// that die in the next moments; otherwise a request that many callers send would be convicted of crashes caused by
+// others.
 //
 // Example:
-//   noteAnswer(answers, fingerprint, now);
-//   if (!wasAnsweredSince(answers, fingerprint, death - grace)) { ...it may be to blame... }
+//   recordAnswer(answers, fingerprint, now);
+//   if (!wasAnsweredSince(answers, fingerprint, diedAt - grace)) { ...suspect the request... }
 
 #include "godwit/base/time.h"
 
--- a/godwit/suspects/suspect_admission.h
+++ b/godwit/suspects/suspect_admission.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Whether a request may be sent, by what endpoints did under it before.
+// Decides whether a request may be sent, given the endpoints that died while running it.
 //
-// A request that may be to blame is tried by itself: one run of it in the fleet at a time, at an endpoint where no
-// other suspect is tried. So each further death speaks against one request alone, and there are no more of them than it
-// takes to be sure.
+// A suspected request runs as a trial: one run in the fleet at a time, at an endpoint without a trial of another
+// suspect. Each further death is then evidence against a single request, and no more endpoints are lost than a
+// conviction needs.
 
 #include "godwit/suspects/suspect_tracker.h"
 
@@ -15,16 +15,17 @@
 
 enum class Admission {
     Unrestricted,
-    Trial, // Only as the fleet's one run of it.
-    Deferred, // Its last death may still turn out to be part of a larger failure, or others may know better.
-    Refused, // Convicted.
+    Trial, // Only as a trial: the only run of the request in the fleet.
+    Deferred, // Its last death may be part of a wider failure, or notices of other routers are missing.
+    Refused, // Convicted, for remainingRefusal().
 };
 
 Admission admissionFor(const SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now);
 
-// Whether the service can spare an endpoint for a trial. Of `endpoints`, those that it lists, one more must be alive:
-// else a request that takes down each one that it runs on would leave none for all others. After `patience` since its
-// last death it is tried all the same, since some services never have two.
+// Whether a trial leaves the service a live endpoint for other requests. `endpoints` are those that the service lists;
+// two of them must be alive, since a request that crashes each endpoint it runs on would otherwise leave none. True
+// regardless once `maxWait` has passed since the last death of the request, since some services never have two
+// endpoints.
 bool hasSpareEndpointForTrial(const SuspectTracker &tracker,
                               std::uint64_t fingerprint,
                               const std::vector<EndpointId> &endpoints,
--- a/godwit/suspects/suspect_codec.cpp
+++ b/godwit/suspects/suspect_codec.cpp
@@ -11,13 +11,13 @@
 
 constexpr std::size_t MaxNoticeBytes = 2048;
 constexpr std::size_t FieldCount = 7;
-constexpr std::size_t ExtendedFieldCount = 9; // With what a router that tells of runs adds.
+constexpr std::size_t ExtendedFieldCount = 9; // With ranFor and trial, which earlier router versions do not send.
 constexpr std::size_t MaxNoticesBytes = 256UL * 1024;
 constexpr std::int64_t UnknownDuration = -1;
-constexpr std::int64_t MaxMicroseconds = 86'400'000'000; // A day: more is not believed.
+constexpr std::int64_t MaxMicroseconds = 86'400'000'000; // A day. Longer durations are implausible and rejected.
 
-// Parses without throwing. Asked not to throw, the library still does so for an array that claims an impossible
-// length; a linked router's bytes would then end this process.
+// Parses without throwing. Even with exceptions disabled, the library throws for an array that declares an impossible
+// length; bytes from a connected router would then terminate this process.
 nlohmann::json parseCbor(const std::string &cbor)
 {
     try {
--- a/godwit/suspects/suspect_codec.h
+++ b/godwit/suspects/suspect_codec.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// SuspectNotice as bytes between routers.
+// CBOR encoding of SuspectNotice for messages between routers.
 //
 // Example:
-//   const auto notice = decodeSuspectNotice(encodeSuspectNotice(told));
+//   const auto decoded = decodeSuspectNotice(encodeSuspectNotice(notice));
 
 #include "godwit/suspects/suspect_notice.h"
 
@@ -16,13 +16,13 @@
 
 std::string encodeSuspectNotice(const SuspectNotice &notice);
 
-// nullopt for bytes that are no such notice.
+// Returns nullopt for malformed input.
 std::optional<SuspectNotice> decodeSuspectNotice(const std::string &cbor);
 
-// Several in one message.
+// Encodes several notices in one message.
 std::string encodeSuspectNotices(const std::vector<SuspectNotice> &notices);
 
-// Leaves out what is no such notice.
+// Skips malformed notices. Returns an empty list if the message itself is malformed.
 std::vector<SuspectNotice> decodeSuspectNotices(const std::string &cbor);
 
 } // namespace Godwit
--- a/godwit/suspects/suspect_notice.h
+++ b/godwit/suspects/suspect_notice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What routers tell one another about requests that may crash endpoints.
+// Notices that routers exchange about requests that may crash endpoints.
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -12,27 +12,28 @@
 {
 
 enum class SuspectStatus {
-    Suspected, // It was in flight at an endpoint that died.
-    Cleared, // That death doesn't count. Without an endpoint: none does, since the request was answered whole.
-    Convicted, // It crashed endpoints one after another: refuse it.
+    Suspected, // The request was in flight at an endpoint that died.
+    Cleared, // That death doesn't count. Without an endpoint: no death counts, since the request was answered
+             // completely.
+    Convicted, // The request crashed several endpoints in succession; refuse it.
 };
 
 struct SuspectNotice
 {
-    // Of customer, route and body, as in PendingCall::fingerprint.
+    // Hash of customer, route and body, as in PendingCall::fingerprint.
     std::uint64_t fingerprint = 0;
     SuspectStatus status = SuspectStatus::Suspected;
-    // The endpoint that died, its host (empty when unknown) and its data centre.
+    // The endpoint that died, its host (empty if unknown) and its data centre.
     EndpointId endpoint;
     HostId host;
     DataCentreId dataCentre;
-    // For Suspected, where it is known: how long the request had been there.
+    // For Suspected, if known: how long the request had been at the endpoint.
     std::optional<Duration> ranFor;
-    // For Suspected: it was tried by itself there.
+    // For Suspected: the request ran there as a trial.
     bool trial = false;
-    // How long ago it died, or how long ago the verdict was given.
+    // Time since the death, or since the verdict.
     Duration age{};
-    // For Convicted: how much longer to refuse it.
+    // For Convicted: the remaining time of the refusal.
     Duration refuseFor{};
 };
 
--- a/godwit/suspects/suspect_record.cpp
+++ b/godwit/suspects/suspect_record.cpp
@@ -14,9 +14,9 @@
 
 using nlohmann::json;
 
-constexpr std::size_t MaxLabelBytes = 256; // Of one text.
+constexpr std::size_t MaxLabelBytes = 256; // Of each string in the label.
 constexpr std::size_t MaxDeaths = 16;
-constexpr std::int64_t MaxRunMilliseconds = 86'400'000; // A day: more is not believed.
+constexpr std::int64_t MaxRunMilliseconds = 86'400'000; // A day. Longer durations are implausible and clamped.
 constexpr std::size_t FingerprintDigits = 16;
 constexpr int Hexadecimal = 16;
 
@@ -42,7 +42,7 @@
     if (record.trial) {
         value["trial"] = {{"router", record.trial->router.value}, {"endpoint", record.trial->endpoint.value}};
     }
-    // A target may hold bytes that are no UTF-8.
+    // A target may contain invalid UTF-8.
     return value.dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
@@ -60,7 +60,7 @@
         record.convicted = value.at("convicted").get<bool>();
         for (const json &death : value.at("deaths")) {
             const auto ranFor = std::clamp<std::int64_t>(death.at(1).get<std::int64_t>(), 0, MaxRunMilliseconds);
-            // Routers of an earlier version wrote nothing of trials.
+            // Records of earlier router versions have no trial field.
             const bool trial = death.size() > 2 && death.at(2).get<bool>();
             record.deaths.push_back(
                 {EndpointId{death.at(0).get<std::string>()}, std::chrono::milliseconds(ranFor), trial});
--- a/godwit/suspects/suspect_record.h
+++ b/godwit/suspects/suspect_record.h
@@ -1,10 +1,11 @@
 #pragma once
 
-// What the fleet keeps in the platform's store of a request that endpoints died under: one record for each, written
-// under the condition of its revision. It outlives the routers, and lets one of them at a time try the request again.
+// The record of a suspected request in the platform's store, shared by the fleet. There is one record per request,
+// written conditionally on its revision. It survives restarts of the routers, and lets one router at a time run a trial
+// of the request.
 //
 // Example:
-//   const auto record = decodeSuspectRecord(encodeSuspectRecord(known));
+//   const auto decoded = decodeSuspectRecord(encodeSuspectRecord(record));
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -17,7 +18,7 @@
 namespace Godwit
 {
 
-// The request as operators see it.
+// Describes the request to operators.
 struct SuspectLabel
 {
     std::string host;
@@ -25,7 +26,7 @@
     CustomerId customer;
 };
 
-// A run by itself, of which nothing is known yet.
+// A trial whose outcome is not known yet.
 struct SuspectTrial
 {
     Incarnation router;
@@ -35,24 +36,24 @@
 struct SuspectDeath
 {
     EndpointId endpoint;
-    Duration ranFor{}; // How long the request had been there; zero where that is not known.
-    bool trial = false; // It was tried by itself there.
+    Duration ranFor{}; // How long the request had been at the endpoint; zero if unknown.
+    bool trial = false; // The request ran there as a trial.
 };
 
 struct SuspectRecord
 {
     SuspectLabel label;
-    std::vector<SuspectDeath> deaths; // That count against it, the earliest first.
+    std::vector<SuspectDeath> deaths; // Attributable deaths, earliest first.
     std::optional<SuspectTrial> trial;
     bool convicted = false;
 };
 
 std::string encodeSuspectRecord(const SuspectRecord &record);
 
-// nullopt for text that is no such record.
+// Returns nullopt for malformed text.
 std::optional<SuspectRecord> decodeSuspectRecord(const std::string &text);
 
-// A fingerprint as keys and lines have it, sixteen hexadecimal digits, and back.
+// Formats a fingerprint as in store keys and log lines, with sixteen hexadecimal digits, and parses it.
 std::string formatFingerprint(std::uint64_t fingerprint);
 std::optional<std::uint64_t> parseFingerprint(const std::string &text);
 
--- a/godwit/suspects/suspect_tracker.cpp
+++ b/godwit/suspects/suspect_tracker.cpp
@@ -65,7 +65,7 @@
     return *tracker.deaths.insert(position, std::move(newDeath));
 }
 
-// Deaths at the same moment that the fingerprint had no part in: of this host, and of any other endpoint.
+// Other endpoints that died within the coincidence window without the fingerprint in flight.
 struct Coincidence
 {
     bool sameHost = false;
@@ -77,7 +77,7 @@
     Coincidence result;
     std::set<EndpointId> others;
     for (const auto &other : tracker.deaths) {
-        // A death that is laid to a request is no sign of a failure of the network.
+        // A death that is already attributed to a request does not indicate a network failure.
         if (other.endpoint == death.endpoint || !withinCoincidenceWindow(tracker, other.at, death.at)
             || wasInFlight(other, fingerprint) || !other.alwaysAttributed.empty()) {
             continue;
@@ -89,8 +89,8 @@
     return result;
 }
 
-// A request crashes the endpoint that runs it and no other. When a host, a switch or a data centre goes, endpoints die
-// together that share no request; without this rule whoever was retried from one of them to another is condemned.
+// A request crashes only the endpoint that runs it. When a host, switch or data centre fails, endpoints without a
+// common request die together; without this rule, a request retried from one of them to another would be convicted.
 bool isAttributable(const SuspectTracker &tracker, const EndpointDeath &death, std::uint64_t fingerprint)
 {
     if (death.alwaysAttributed.count(fingerprint) != 0) {
@@ -100,15 +100,16 @@
     return !coincidence.sameHost && coincidence.endpoints < tracker.options.unrelatedDeathsThreshold;
 }
 
-// Whether a call was sent there only after `before`, so that it may be what ended both. One that was in flight at
-// several endpoints when they died together has ended one of them at most.
+// Whether the request may have been sent after the death `before`, and so may have caused both deaths. A request in
+// flight at several endpoints that die together has caused at most one of these deaths. True if the send time is
+// unknown.
 bool wasSentAfter(const EndpointDeath &death, std::uint64_t fingerprint, const EndpointDeath &before)
 {
     const auto sent = death.sentAt.find(fingerprint);
     return sent == death.sentAt.end() || sent->second >= before.at;
 }
 
-// Whether another fingerprint may be to blame for all of the deaths as well.
+// Whether another fingerprint may have caused all of the deaths as well.
 bool isAmbiguous(const std::vector<const EndpointDeath *> &deaths, std::uint64_t fingerprint)
 {
     const auto &first = deaths.front()->fingerprints;
@@ -125,14 +126,15 @@
     });
 }
 
-// Whether no other request was at this death that has part in another one. A suspect of one death goes anywhere, also
-// to the endpoint of a trial.
+// Whether no other request that was in flight at further deaths was at this endpoint. A request with one death is
+// routed without restriction, also to an endpoint that runs a trial.
 bool isOnlySuspectAt(const SuspectTracker &tracker, const EndpointDeath &death, std::uint64_t fingerprint)
 {
     const auto isOtherSuspect = [&](std::uint64_t other) {
         return other != fingerprint && tracker.deathCount.at(other) > 1;
     };
-    // What came from a record stands apart from what was told: its time is not known.
+    // Covers all deaths of the endpoint: the times of deaths read from a stored record are unknown, so they are not
+    // merged with the same deaths from notices.
     return std::none_of(tracker.deaths.begin(), tracker.deaths.end(), [&](const EndpointDeath &known) {
         return known.endpoint == death.endpoint
             && std::any_of(known.fingerprints.begin(), known.fingerprints.end(), isOtherSuspect);
@@ -277,7 +279,7 @@
         });
         const bool follows = attributable.empty() || wasSentAfter(*death, fingerprint, *attributable.back());
         const auto ran = runTime(*death, fingerprint);
-        // What kills its endpoint within a moment does not run for seconds elsewhere.
+        // A request that crashes an endpoint within milliseconds does not run for seconds at another one.
         const bool ranMuchLonger =
             ran && longestRun && *ran > tracker.options.longerRunFactor * *longestRun + tracker.options.longerRunSlack;
         if (!known && follows && !ranMuchLonger && isAttributable(tracker, *death, fingerprint)) {
--- a/godwit/suspects/suspect_tracker.h
+++ b/godwit/suspects/suspect_tracker.h
@@ -1,18 +1,21 @@
 #pragma once
 
-// Requests that may crash endpoints: who was in flight when an endpoint died, and who is to be refused.
+// Tracks requests that may crash endpoints: which requests were in flight when an endpoint died, and which are refused.
 //
-// One death makes all calls in flight there suspects and condemns nobody. A fingerprint is convicted when it is the
-// only one found at SuspectOptions::deathsToConvict sound deaths of different endpoints, each of which it reached after
-// the one before. A death is sound when it is no part of a failure of a host or of the network, which shows by deaths
-// at the same moment that the fingerprint had no part in. Judgement waits until such deaths must have shown
-// (SuspectOptions::settle). Where several routers send the same request, one of the deaths must be of a trial besides
-// (SuspectOptions::trialConvicts).
+// A single death makes every request in flight at the endpoint a suspect and convicts none. A fingerprint is convicted
+// when it is the only one present at SuspectOptions::deathsToConvict attributable deaths of different endpoints and was
+// sent to each of them after the previous one had died. A death is attributable to a fingerprint unless it is part of a
+// host or network failure, which is recognised by coincident deaths that do not involve the fingerprint. Callers
+// evaluate a fingerprint only after SuspectOptions::coincidenceWindow, when such deaths have been observed. Where
+// several routers send the same request, one of the deaths must also come from a trial
+// (SuspectOptions::convictionRequiresTrial).
+//
+// Not thread-safe. Time is passed in.
 //
 // Example:
-//   noteSuspect(book, death, call.fingerprint, now);
+//   recordSuspect(tracker, death, call.fingerprint, {call.sentAt});
 //   ...
-//   if (judge(book, call.fingerprint, now) == Verdict::Convicted) { ...refuse... }
+//   if (evaluateSuspect(tracker, call.fingerprint, now) == Verdict::Convicted) { ...refuse... }
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -30,23 +33,25 @@
 
 struct SuspectOptions
 {
-    // Deaths so close together may have one cause.
+    // Deaths no further apart than this may have a common cause.
     Duration coincidenceWindow = std::chrono::milliseconds(300);
-    // How long a death counts against those who were in flight. Longer than refuseFor: a request that comes back after
-    // its refusal and crashes a further endpoint is refused again at once.
+    // How long a death counts as evidence. Longer than refuseFor, so that a request that returns after its refusal and
+    // crashes another endpoint is refused again at once.
     Duration retention = std::chrono::hours(2);
     std::size_t deathsToConvict = 2;
-    // Whether one of them must be of a trial, with no other suspect at that endpoint. Deaths that routers saw apart may
-    // all be of another request, which met this one at each of them.
+    // Whether one of these deaths must come from a trial with no other suspect at that endpoint. Deaths that several
+    // routers observed independently may all be caused by another request that was in flight at each endpoint as well.
     bool convictionRequiresTrial = false;
-    // How long a fingerprint is refused that was convicted with just so many deaths, and with more; where trials
-    // convict, at the first one and at a further one.
+    // Duration of a refusal: firstRefuseFor after exactly deathsToConvict deaths, refuseFor after more. With
+    // convictionRequiresTrial: after the first death in a trial, and after further ones.
     Duration firstRefuseFor = std::chrono::hours(1);
     Duration refuseFor = std::chrono::hours(1);
-    // A death after a run that was so much longer than those at the deaths before does not count.
+    // A death does not count when the request had run for longer than longerRunFactor times its longest run at the
+    // earlier deaths, plus longerRunSlack.
     int longerRunFactor = 4;
     Duration longerRunSlack = std::chrono::seconds(1);
-    // So many deaths at once that a fingerprint had no part in clear it.
+    // A death is not attributed to a fingerprint when at least this many other endpoints died within
+    // coincidenceWindow without the fingerprint in flight. One such death on the same host suffices.
     std::size_t unrelatedDeathsThreshold = 2;
     std::size_t maxDeaths = 256;
     std::size_t maxFingerprints = 20'000;
@@ -58,22 +63,23 @@
     HostId host;
     DataCentreId dataCentre;
     TimePoint at;
-    // Who was in flight, sorted. Empty for a failure to connect, which is evidence of a host failure only.
+    // Requests in flight, sorted. Empty for a failure to connect, which is evidence of a host failure only.
     std::vector<std::uint64_t> fingerprints;
-    // When the calls were sent that died here, where that is known; the earliest of a fingerprint.
+    // When the calls in flight were sent, where known; the earliest call of each fingerprint.
     std::unordered_map<std::uint64_t, TimePoint> sentAt;
-    // Of these fingerprints it was a trial, or the death was counted before: no coincidence speaks for them.
+    // Fingerprints that the death counts against regardless of coincident deaths: it ended their trial, or was counted
+    // before.
     std::set<std::uint64_t> alwaysAttributed;
-    // Of these it was a trial.
+    // Fingerprints whose trial the death ended.
     std::set<std::uint64_t> trialFingerprints;
 };
 
-// How a call came to be in flight at a death.
+// The run of a request that was in flight at a death.
 struct InFlightRun
 {
     std::optional<TimePoint> sentAt;
-    bool alwaysAttributed = false; // As EndpointDeath::certain.
-    bool trial = false; // As EndpointDeath::tried; such a death is certain.
+    bool alwaysAttributed = false; // See EndpointDeath::alwaysAttributed.
+    bool trial = false; // See EndpointDeath::trialFingerprints. Implies alwaysAttributed.
 };
 
 enum class Verdict {
@@ -85,79 +91,86 @@
 struct SuspectTracker
 {
     SuspectOptions options;
-    // Whether what other routers see reaches this one. Without their answers, and while they send it too, a death says
-    // little of a request: nobody is convicted, and what looks guilty waits.
+    // Whether notices from other routers arrive. Without them a death is weak evidence, since other routers may send
+    // the same request and get it answered: no request is convicted, and one with enough deaths for a conviction is
+    // deferred for firstRefuseFor before its next trial.
     bool connectedToPeers = true;
-    // By time; bounded.
+    // In order of time; at most SuspectOptions::maxDeaths.
     std::deque<EndpointDeath> deaths;
     std::unordered_map<std::uint64_t, TimePoint> refusedUntil;
-    // In how many deaths a fingerprint stands, so that innocents cost one look-up.
+    // Number of retained deaths per fingerprint. Makes the check of an unsuspected request a single look-up.
     std::unordered_map<std::uint64_t, int> deathCount;
 };
 
-// Notes that `fingerprint` was in flight when the endpoint died; joins a death of that endpoint at about that time.
-// Returns whether this was new.
+// Records that `fingerprint` was in flight when the endpoint died. Merges with a recorded death of that endpoint within
+// the coincidence window. Returns false if the fingerprint was already recorded for this death, or if it is not tracked
+// because of SuspectOptions::maxFingerprints.
 bool recordSuspect(SuspectTracker &tracker,
                    const EndpointDeath &death,
                    std::uint64_t fingerprint,
                    const InFlightRun &run = {});
 
-// Notes a failure that nobody is suspected of.
+// Records a failure that no request is suspected of.
 void recordUnrelatedDeath(SuspectTracker &tracker, const EndpointDeath &death);
 
-// Takes a death back: the endpoint had not died. Returns the fingerprints that it held.
+// Removes a death after it turned out that the endpoint had not died. Returns the fingerprints recorded for it.
 std::vector<std::uint64_t> retractDeath(SuspectTracker &tracker, const EndpointId &endpoint, TimePoint at);
 
-// Takes all deaths of `endpoint` back for one fingerprint.
+// Removes one fingerprint from all recorded deaths of `endpoint`.
 void clearEvidenceAt(SuspectTracker &tracker, const EndpointId &endpoint, std::uint64_t fingerprint);
 
-// Takes everything back that is held against a fingerprint: an answer of it came whole, or an operator says so.
+// Removes all evidence against a fingerprint and its conviction, after a complete answer or on an operator's request.
 void clearAllEvidence(SuspectTracker &tracker, std::uint64_t fingerprint);
 
-// What is known by now. Suspected while a death counts against it or is not settled.
+// Returns the verdict without re-evaluating the evidence. Suspected while a recorded death involves the fingerprint.
 Verdict verdictFor(const SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now);
 
-// Decides on a fingerprint whose last death has settled; a conviction is recorded.
+// Evaluates the evidence against a fingerprint and records a conviction. To be called once the coincidence window of
+// its last death has passed.
 Verdict evaluateSuspect(SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now);
 
-// Records another router's conviction.
+// Records a conviction, for example one by another router. Never shortens a refusal. Ignored when
+// SuspectOptions::maxFingerprints convictions are recorded already.
 void recordConviction(SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint until);
 
-// Whether many endpoints that share no fingerprint died at about `at`.
+// Whether more than SuspectOptions::unrelatedDeathsThreshold endpoints died within the coincidence window around `at`
+// without a fingerprint common to all of them.
 bool isWidespreadFailure(const SuspectTracker &tracker, TimePoint at);
 
-// The latest death that the fingerprint had part in.
+// The latest death that the fingerprint was in flight at; nullptr if there is none. Valid until the tracker changes.
 const EndpointDeath *lastDeathInvolving(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
-// Whether the fingerprint had part in a death of this endpoint or of another one of its host.
+// Whether the fingerprint was in flight at a death of this endpoint or of another endpoint on `host`. An empty host
+// matches none.
 bool wasInFlightAtDeathOf(const SuspectTracker &tracker,
                           std::uint64_t fingerprint,
                           const EndpointId &endpoint,
                           const HostId &host);
 
-// The deaths that the fingerprint had part in, the earliest first.
+// The deaths that the fingerprint was in flight at, earliest first. Valid until the tracker changes.
 std::vector<const EndpointDeath *> deathsInvolving(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
-// The sound deaths of different endpoints that count against it, the earliest first.
+// The deaths that count as evidence against the fingerprint, one per endpoint, earliest first. Valid until the tracker
+// changes.
 std::vector<const EndpointDeath *> attributableDeaths(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
-// Whether the death was of a trial of the fingerprint, in which it was the only suspect.
+// Whether the death ended a trial of the fingerprint with no other suspect at the endpoint.
 bool isIsolatedTrial(const SuspectTracker &tracker, const EndpointDeath &death, std::uint64_t fingerprint);
 
-// How long the earliest call of a fingerprint had been there when the endpoint died, where that is known.
+// How long the earliest call of the fingerprint had been at the endpoint when it died; nullopt if unknown.
 std::optional<Duration> runTime(const EndpointDeath &death, std::uint64_t fingerprint);
 
-// How long a fingerprint is refused that is convicted by what is known now.
+// How long the fingerprint is refused if convicted on the current evidence.
 Duration refusalDurationFor(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
-// How long a conviction still holds; zero when there is none.
+// Remaining time of a conviction; zero if there is none.
 Duration remainingRefusal(const SuspectTracker &tracker, std::uint64_t fingerprint, TimePoint now);
 
-// The place of the fingerprint among all that share its latest death, the most suspected first. Equal at all routers
-// that know the same deaths, so that each suspect can be tried at an endpoint of its own.
+// Index of the fingerprint among those in flight at its latest death, ordered by decreasing number of deaths. Identical
+// on all routers with the same evidence, so that each suspect can be tried at a different endpoint.
 std::size_t suspectRank(const SuspectTracker &tracker, std::uint64_t fingerprint);
 
-// Drops what is too old to count.
+// Removes deaths older than SuspectOptions::retention, and expired convictions.
 void removeExpiredSuspects(SuspectTracker &tracker, TimePoint now);
 
 } // namespace Godwit
