--- a/godwit/suspects/first_deaths_test.cpp
+++ b/godwit/suspects/first_deaths_test.cpp
@@ -19,7 +19,7 @@
     recordSuspect(tracker, death, fingerprint, {Start + after - ranFor});
 }
 
-// As a process that starts now reads it.
+// The tracker of a process that starts now and reads the value.
 SuspectTracker restoreTracker(const std::string &value, TimePoint now)
 {
     SuspectTracker tracker;
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("a first death counts at a process that started after it, and a second one follows it")
+TEST_CASE("a first death counts in a process started later, and a second death follows it")
 {
     SuspectTracker tracker;
     recordDeath(tracker, "a", 0s, 7, 40ms);
@@ -46,7 +46,7 @@
     CHECK(later.deathCount.at(7) == 2);
 }
 
-TEST_CASE("first deaths leave out requests with a record of their own")
+TEST_CASE("first deaths omit requests with more than one death")
 {
     SuspectTracker tracker;
     recordDeath(tracker, "a", 0s, 7, 40ms);
@@ -57,8 +57,8 @@
     CHECK(deaths[0].fingerprint == 8);
 }
 
-// Guards against holding requests to account for a failure of the network after all routers have started anew.
-TEST_CASE("first deaths leave out what failed together")
+// Guards against suspecting requests for a network failure after all routers have restarted.
+TEST_CASE("first deaths omit widespread failures")
 {
     SuspectTracker tracker;
     for (std::uint64_t i = 0; i < 6; ++i) {
@@ -67,7 +67,7 @@
     CHECK(collectFirstDeaths(tracker, Start + 1s).empty());
 }
 
-TEST_CASE("first deaths are few, the latest and the shortest runs first")
+TEST_CASE("first deaths are bounded, with the latest deaths and the shortest runs first")
 {
     SuspectTracker tracker;
     for (std::uint64_t i = 0; i < 100; ++i) {
@@ -81,7 +81,7 @@
     CHECK(collectFirstDeaths(tracker, Start + 1h).empty());
 }
 
-TEST_CASE("a value of first deaths that can't be read says so")
+TEST_CASE("malformed first deaths are rejected")
 {
     for (const char *text :
          {"", "[]", "{}", R"({"deaths":[["zz","a",1,1]]})", R"({"deaths":[["0000000000000007"]]})"}) {
--- a/godwit/suspects/suspect_admission_test.cpp
+++ b/godwit/suspects/suspect_admission_test.cpp
@@ -26,7 +26,7 @@
     return tracker;
 }
 
-// The endpoint dies `after` the start, under a run that was sent `ranFor` before.
+// Records a death of the endpoint at Start + `after`, with a run that was sent `ranFor` earlier.
 void recordDeath(SuspectTracker &tracker,
                  const std::string &endpoint,
                  Duration after,
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a request is free, then tried by itself, then refused for a short time and for a long one")
+TEST_CASE("a suspected request is first unrestricted, then tried, then refused briefly, then refused for longer")
 {
     SuspectTracker tracker = makeTracker();
     CHECK(admissionFor(tracker, Crasher, Start) == Admission::Unrestricted);
@@ -58,9 +58,9 @@
     CHECK(admissionFor(tracker, Crasher, Start + 30min) == Admission::Refused);
 }
 
-// Guards against condemning a busy request by deaths of another one that met it at each of them, which routers that
-// were cut off from one another saw apart.
-TEST_CASE("deaths alone convict nobody: one of them must be of a trial")
+// Guards against convicting a frequent request of crashes caused by another one. The other request was in flight at
+// each of the endpoints as well, but disconnected routers observed the two separately.
+TEST_CASE("a conviction requires a death in a trial")
 {
     SuspectTracker tracker = makeTracker();
     tracker.options.convictionRequiresTrial = true;
@@ -74,9 +74,9 @@
     CHECK(evaluateSuspect(tracker, Harmless, Start + 5s) == Verdict::Convicted);
 }
 
-// Guards against condemning a busy request while routers are cut off from one another: others send it too, and what
-// they are answered is not heard.
-TEST_CASE("a router that doesn't hear the fleet convicts nobody, and lets what looks guilty wait")
+// Guards against convicting a frequent request while routers are disconnected: the others send it too, and notices of
+// their answers do not arrive.
+TEST_CASE("a router without connection to its peers convicts no request and defers further trials")
 {
     SuspectTracker tracker = makeTracker();
     tracker.options.convictionRequiresTrial = true;
@@ -93,8 +93,9 @@
     CHECK(admissionFor(tracker, Harmless, Start + 3s) == Admission::Trial);
 }
 
-// Guards against condemning a busy request whose trial met a suspect of one death, which is free to go anywhere.
-TEST_CASE("a trial's death convicts nobody while another suspect was there")
+// Guards against convicting a frequent request whose trial shared the endpoint with a request that has one death, which
+// is routed without restriction.
+TEST_CASE("a death in a trial does not convict if another suspect was at the endpoint")
 {
     constexpr std::uint64_t otherCrasher = 9;
     SuspectTracker tracker = makeTracker();
@@ -109,13 +110,14 @@
     recordSuspect(tracker, third, Crasher, {Start + 2s - 30ms});
     CHECK(evaluateSuspect(tracker, Harmless, Start + 3s) == Verdict::Suspected);
     CHECK(admissionFor(tracker, Harmless, Start + 3s) == Admission::Trial);
-    // The other one was answered, so that the death was this one's doing.
+    // The other request was answered, which leaves this one as the only suspect.
     clearAllEvidence(tracker, Crasher);
     CHECK(evaluateSuspect(tracker, Harmless, Start + 3s) == Verdict::Convicted);
 }
 
-// Guards against the same where the trial is known from a record, which tells of no other request and not when it was.
-TEST_CASE("another suspect at the endpoint of a trial is seen whenever its death was noted")
+// Guards against the same conviction if the trial is known from a stored record, which has neither the time of the
+// death nor other requests.
+TEST_CASE("another suspect at the endpoint of a trial is found regardless of the recorded time of its death")
 {
     SuspectTracker tracker = makeTracker();
     tracker.options.convictionRequiresTrial = true;
@@ -129,8 +131,8 @@
     CHECK(evaluateSuspect(tracker, Harmless, Start + 6s) == Verdict::Suspected);
 }
 
-// Guards against an hour's refusal for many deaths that were seen apart, of which one alone was of a trial.
-TEST_CASE("where trials convict, a long refusal takes a second death of a trial")
+// Guards against a refusal of an hour after many independently observed deaths of which only one was in a trial.
+TEST_CASE("with convictionRequiresTrial, a long refusal requires a second death in a trial")
 {
     SuspectTracker tracker = makeTracker();
     tracker.options.convictionRequiresTrial = true;
@@ -151,8 +153,8 @@
     CHECK(remainingRefusal(tracker, Crasher, Start + 24s) == Duration(1h));
 }
 
-// Guards against condemning a request that many send, since it is at each endpoint that fails.
-TEST_CASE("endpoints that die together under one request count once against it")
+// Guards against convicting a request that many callers send and that is therefore in flight at each failing endpoint.
+TEST_CASE("simultaneous deaths with one request in flight count once against it")
 {
     SuspectTracker tracker = makeTracker();
     for (const char *endpoint : {"a", "b", "c", "d"}) {
@@ -163,8 +165,8 @@
     CHECK(admissionFor(tracker, Harmless, Start + 1s) == Admission::Unrestricted);
 }
 
-// Guards against a busy request that shields another one by being everywhere.
-TEST_CASE("a request that did not follow the deaths doesn't make another one's blame doubtful")
+// Guards against a frequent request that prevents the conviction of another one because it is in flight everywhere.
+TEST_CASE("a request sent before the earlier deaths does not make the evidence against another one ambiguous")
 {
     SuspectTracker tracker = makeTracker();
     for (const char *endpoint : {"a", "b", "c"}) {
@@ -176,7 +178,7 @@
     CHECK(evaluateSuspect(tracker, Crasher, Start + 1s) == Verdict::Convicted);
 }
 
-TEST_CASE("two requests with the same deaths are both tried, until one is answered")
+TEST_CASE("two requests with the same deaths are both tried until one is answered")
 {
     SuspectTracker tracker = makeTracker();
     for (const char *endpoint : {"a", "b", "c"}) {
@@ -191,8 +193,8 @@
     CHECK(evaluateSuspect(tracker, Crasher, Start + 3s) == Verdict::Convicted);
 }
 
-// Guards against a service that is down for everybody while one request is being judged.
-TEST_CASE("a suspect is not tried at the last endpoint of its service that is known to live")
+// Guards against an outage of the whole service while one request is tried.
+TEST_CASE("a suspect is not tried at the last live endpoint of its service")
 {
     SuspectTracker tracker = makeTracker();
     recordDeath(tracker, "a", 0s, Crasher);
@@ -204,8 +206,8 @@
     CHECK(hasSpareEndpointForTrial(tracker, Crasher, all, 10s, Start + 11s));
 }
 
-// Guards against a crash that counts for nothing since other endpoints die meanwhile.
-TEST_CASE("the death of a trial counts, whatever else dies")
+// Guards against a crash in a trial that does not count because other endpoints die at the same time.
+TEST_CASE("a death in a trial counts regardless of coincident deaths")
 {
     for (const bool trial : {false, true}) {
         SuspectTracker tracker = makeTracker();
@@ -220,8 +222,8 @@
     }
 }
 
-// Guards against condemning a request that hangs at an endpoint until that dies of something else.
-TEST_CASE("a death after a far longer run than at the deaths before does not count")
+// Guards against convicting a request that hangs at an endpoint until the endpoint dies of another cause.
+TEST_CASE("a death after a much longer run than at the earlier deaths does not count")
 {
     SuspectTracker tracker = makeTracker();
     recordDeath(tracker, "a", 0s, Crasher, 40ms);
@@ -232,7 +234,7 @@
     CHECK(evaluateSuspect(tracker, Crasher, Start + 8s) == Verdict::Convicted);
 }
 
-TEST_CASE("a pardon takes back deaths and verdict")
+TEST_CASE("clearing all evidence removes deaths and verdict")
 {
     SuspectTracker tracker = makeTracker();
     for (const char *endpoint : {"a", "b", "c"}) {
@@ -244,8 +246,8 @@
     CHECK(tracker.deathCount.empty());
 }
 
-// Guards against condemning a busy request while endpoints die of others in quick succession.
-TEST_CASE("answers are remembered for a few seconds, and few of them")
+// Guards against convicting a frequent request while others crash endpoints in quick succession.
+TEST_CASE("answers are retained for a few seconds and in bounded number")
 {
     RecentAnswers answers;
     recordAnswer(answers, Harmless, Start);
@@ -264,7 +266,7 @@
     CHECK(answers.byTime.size() <= answers.maxAnswers);
 }
 
-TEST_CASE("several notices come through whole, and other bytes don't")
+TEST_CASE("several notices survive a round trip, and truncated messages are rejected")
 {
     SuspectNotice notice;
     notice.fingerprint = 0xfedcba9876543210ULL;
@@ -287,7 +289,7 @@
     }
 }
 
-TEST_CASE("a record comes through whole, bounded and with any bytes in its target")
+TEST_CASE("a record survives a round trip, with a bounded target of arbitrary bytes")
 {
     SuspectRecord record;
     record.label = {"desk.example", "/read/\xff" + std::string(1000, 'x'), CustomerId{"anna"}};
