--- a/godwit/daemon/budget_keeper.cpp
+++ b/godwit/daemon/budget_keeper.cpp
@@ -201,14 +201,14 @@
 void BudgetKeeper::onLeaseKept(TimePoint asked, Duration uptime, Duration timeToLive)
 {
     m_renewedAt = asked;
-    keepShareLease(m_relay.state().limitShares, m_lease, uptime + timeToLive);
+    renewShareLease(m_relay.state().limitShares, m_lease, uptime + timeToLive);
 }
 
 void BudgetKeeper::forgetLease()
 {
     m_lease = 0;
     m_liveEntryWritten = false;
-    loseShareLease(m_relay.state().limitShares);
+    dropShareLease(m_relay.state().limitShares);
 }
 
 void BudgetKeeper::onLeaseLost()
@@ -440,7 +440,7 @@
     }
     // Until it has worked the tick tries again; the owner bounds how long.
     if (share.returned && m_lease != 0) {
-        loseShareLease(m_relay.state().limitShares);
+        dropShareLease(m_relay.state().limitShares);
         m_store.endLease(m_lease, [done = std::exchange(m_returned, [] {})](StoreStatus) {
             done();
         });
--- a/godwit/daemon/endpoint_list.cpp
+++ b/godwit/daemon/endpoint_list.cpp
@@ -93,7 +93,7 @@
         entry.endpoint.reset();
         return;
     }
-    EndpointStart &newest = m_newestStart[endpoint->id];
+    EndpointIncarnation &newest = m_newestStart[endpoint->id];
     if (endpoint->startedAt != 0 && endpoint->startedAt < newest) {
         // A write of an earlier start that the store has done late. What was known of the newer one still holds.
         logRefusal(key, entry, "an entry of an earlier start of the endpoint");
@@ -177,7 +177,7 @@
     const auto &routes = m_relay.state().routes;
     const GatewayService *service = routes ? findService(*routes, endpoint.service) : nullptr;
     if (end != m_evacuationEnds.end() && service != nullptr) {
-        endpoint.coldUntil = std::max(endpoint.coldUntil, end->second + service->coldStart.lasts);
+        endpoint.coldUntil = std::max(endpoint.coldUntil, end->second + service->coldStart.duration);
     }
     return endpoint;
 }
--- a/godwit/daemon/endpoint_list.h
+++ b/godwit/daemon/endpoint_list.h
@@ -56,7 +56,7 @@
     Relay &m_relay;
     boost::asio::steady_timer m_timer;
     std::map<std::string, Entry> m_entries; // By key.
-    std::map<EndpointId, EndpointStart> m_newestStart; // Of each id, also for a while after it has gone.
+    std::map<EndpointId, EndpointIncarnation> m_newestStart; // Of each id, also for a while after it has gone.
     std::map<EndpointId, ListedEndpoint> m_listed; // What the store says.
     std::map<EndpointId, ListedEndpoint> m_used; // With entries that may have lapsed while the store was away.
     std::set<DataCentreId> m_evacuated;
--- a/godwit/daemon/fleet_copies.cpp
+++ b/godwit/daemon/fleet_copies.cpp
@@ -213,7 +213,7 @@
     if (bytes >= m_options.largeSnapshot && m_options.ownCapacity < least && !toLargest) {
         return false;
     }
-    return takeBytes(m_snapshotBytes, m_options.snapshots, bytes, now);
+    return tryTakeBytes(m_snapshotBytes, m_options.snapshots, bytes, now);
 }
 
 void FleetLinks::onSnapshotRequest(const Incarnation &from, const std::string &body)
--- a/godwit/daemon/fleet_homes.cpp
+++ b/godwit/daemon/fleet_homes.cpp
@@ -194,7 +194,7 @@
             largest = std::max(largest, peer.member.capacity);
         }
     }
-    return largest * m_options.entryHosts.sameKindFrom;
+    return largest * m_options.entryHosts.sameClassRatio;
 }
 
 // Few routers are homes: each writes one mark for all customers that it is home to, however many these are. Large
--- a/godwit/daemon/fleet_links.cpp
+++ b/godwit/daemon/fleet_links.cpp
@@ -184,7 +184,7 @@
     m_fleetLoad = std::max(load, m_fleetLoad * kept);
     // What has passed counts as if it came to this host.
     hosts.front().load += m_fleetLoad - load;
-    const double least = leastListedCapacity(std::move(hosts), m_options.entryHosts);
+    const double least = minAdvertisedCapacity(std::move(hosts), m_options.entryHosts);
     if (least != std::exchange(m_leastEntry, least)) {
         m_relay.log().write(
             "entry_hosts", {{"least_capacity", least}, {"load", m_fleetLoad}, {"own_capacity", m_options.ownCapacity}});
@@ -193,9 +193,9 @@
 }
 
 // The routers that callers are told of get nearly all requests, so that they hold the shares of the fleet's limits.
-SenderGroup FleetLinks::senderGroup(TimePoint now) const
+AdvertisedRouters FleetLinks::senderGroup(TimePoint now) const
 {
-    SenderGroup group;
+    AdvertisedRouters group;
     group.self = m_options.own.callerAddress;
     if (isEntry()) {
         group.routers.push_back(group.self);
@@ -433,7 +433,7 @@
     constexpr double step = 1.1;
     m_toldFrom = pauses < 1 ? m_toldFrom * step : std::max(least, m_toldFrom / std::min(pauses, step));
     m_promptToldAt = now;
-    tellEntries({PromptTopic, toBytes(json::array({prompt.endpoint.value, prompt.unread, prompt.part}))});
+    tellEntries({PromptTopic, toBytes(json::array({prompt.endpoint.value, prompt.uncachedTokens, prompt.prefix}))});
 }
 
 void FleetLinks::onPromptTold(const std::string &body)
@@ -445,8 +445,8 @@
         return;
     }
     PromptSent prompt{EndpointId{message[0].get<std::string>()}, message[1].get<Tokens>(), message[2]};
-    prompt.unread = std::max<Tokens>(0, prompt.unread);
-    notePromptElsewhere(m_relay.state().endpoints, prompt, m_relay.options().choice, Relay::now());
+    prompt.uncachedTokens = std::max<Tokens>(0, prompt.uncachedTokens);
+    recordRemotePrompt(m_relay.state().endpoints, prompt, m_relay.options().choice, Relay::now());
 }
 
 // Grows with the fleet, so that a router's messages a second do not.
--- a/godwit/daemon/fleet_links.h
+++ b/godwit/daemon/fleet_links.h
@@ -7,9 +7,9 @@
 
 #include "godwit/base/time.h"
 #include "godwit/daemon/prefix_messages.h"
-#include "godwit/gateway/byte_allowance.h"
+#include "godwit/gateway/byte_rate_limiter.h"
 #include "godwit/gateway/entry_hosts.h"
-#include "godwit/gateway/reading_turns.h"
+#include "godwit/gateway/read_schedule.h"
 #include "godwit/prepaid/tokens_ahead.h"
 #include "godwit/relay/relay.h"
 #include "godwit/router/router_mesh.h"
@@ -71,9 +71,9 @@
     std::size_t relayUpdatesFrom = 1024UL * 1024;
     // Snapshots for the peers. Where few hosts reach the store all others ask them at once, and whole documents for
     // each would keep a small host's link busy for seconds.
-    ByteRate snapshots{bytesPerSecond(500)};
+    ByteRateLimit snapshots{bytesPerSecond(500)};
     std::size_t largeSnapshot = 64UL * 1024;
-    int readers = ReadingOptions{}.readers;
+    int readers = ReadScheduleOptions{}.readers;
     // Prompts that take an engine less time than this are not told to the other routers: a request behind one of them
     // is hardly later.
     Duration toldPromptFrom = std::chrono::milliseconds(12);
@@ -265,7 +265,7 @@
     Duration beatIntervalOf(bool entry) const;
     void measureLoad(TimePoint now);
     void chooseEntries(TimePoint now);
-    SenderGroup senderGroup(TimePoint now) const;
+    AdvertisedRouters senderGroup(TimePoint now) const;
     void dialPeers();
     void tellEntries(const Envelope &envelope);
     void forgetSilent(TimePoint now);
@@ -288,7 +288,7 @@
     bool m_watchingAnswers = false;
     std::optional<TimePoint> m_readyAt;
     bool m_settled = false;
-    ByteAllowance m_snapshotBytes;
+    ByteRateLimiter m_snapshotBytes;
     std::deque<std::int64_t> m_lagStamps; // Of the questions whose first answer is still out, the oldest first.
     bool m_readyTold = false;
     bool m_inReachTold = false;
--- a/godwit/daemon/fleet_links_test.cpp
+++ b/godwit/daemon/fleet_links_test.cpp
@@ -66,7 +66,7 @@
         // What goes out at once, and next to nothing afterwards.
         options.snapshots.perSecond = 1;
         // Hosts of all sizes are listed, and so linked.
-        options.entryHosts.plannedLoad = -1;
+        options.entryHosts.targetUtilization = -1;
         return options;
     }
 
--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -264,7 +264,7 @@
             m_suspects.onNotices(notices);
         };
         m_links.onLag = [this](Duration lag) {
-            noteLag(m_pauses, lag, Relay::now());
+            recordMessageLag(m_pauses, lag, Relay::now());
             pauseIfOverloaded();
         };
         m_links.onStoreFound = [this] {
@@ -322,7 +322,7 @@
     {
         SharedPrefixOptions options;
         options.watched = false;
-        options.readings.every = LiveReadingInterval;
+        options.readings.interval = LiveReadingInterval;
         return options;
     }
 
@@ -532,7 +532,7 @@
             const RegionId own = regionOf(m_settings.regions, m_settings.dataCentre);
             hosts.push_back({m_settings.callerListen, own, m_links.isEntry()});
         }
-        std::vector<std::string> addresses = addressesIn(hosts, entryRegions(question));
+        std::vector<std::string> addresses = addressesForRegions(hosts, entryRegions(question));
         std::shuffle(addresses.begin(), addresses.end(), m_random);
         addresses.resize(std::min(addresses.size(), MaxAddresses));
         return addresses;
@@ -690,16 +690,16 @@
             return;
         }
         for (SharedPrefix *prefix : {&m_documents, &m_endpointEntries}) {
-            if (isOutdated(prefix->agreement(), m_relay.options().agreement, now)) {
+            if (isStale(prefix->agreement(), m_relay.options().agreement, now)) {
                 m_nextConfirm = now + ConfirmInterval;
                 prefix->confirm();
             }
         }
     }
 
-    static double agreedAgo(const CopyAgreement &agreement)
+    static double agreedAgo(const CopyFreshness &agreement)
     {
-        return toSeconds(Relay::now() - agreement.agreedAt) * 1000;
+        return toSeconds(Relay::now() - agreement.currentAsOf) * 1000;
     }
 
     void pauseIfOverloaded()
@@ -708,10 +708,10 @@
             return;
         }
         const TimePoint now = Relay::now();
-        noteRequests(m_pauses, m_relay.counters().requests, now);
+        recordRequestCount(m_pauses, m_relay.counters().requests, now);
         const Duration lag = m_pauses.lag;
-        const auto pause = pauseFor(m_pauses, m_relay.isBehind(now), m_pauseOptions, now);
-        m_relay.state().endsConnections = endsConnections(m_pauses, m_pauseOptions, now);
+        const auto pause = computePause(m_pauses, m_relay.isBehind(now), m_pauseOptions, now);
+        m_relay.state().endsConnections = shouldCloseConnections(m_pauses, m_pauseOptions, now);
         if (!pause) {
             return;
         }
@@ -829,7 +829,7 @@
     SharedPrefix m_liveEntries;
     Listener m_callers;
     ConnectionPauseOptions m_pauseOptions;
-    ConnectionPauses m_pauses;
+    ConnectionPauseState m_pauses;
     EntryServer m_entry;
     EntryServer m_metrics;
     boost::asio::signal_set m_signals;
--- a/godwit/daemon/gateway_metrics.cpp
+++ b/godwit/daemon/gateway_metrics.cpp
@@ -26,7 +26,7 @@
     line(out, "godwit_repeats_total", static_cast<double>(counters.repeats));
     const RelayState &state = relay.state();
     line(out, "godwit_limit_shares_held", static_cast<double>(state.limitShares.held.size()));
-    line(out, "godwit_limit_part_usable", partOf(usableShares(state.limitShares, Relay::now(), Relay::uptime())));
+    line(out, "godwit_limit_part_usable", fractionOf(usableShares(state.limitShares, Relay::now(), Relay::uptime())));
     line(out, "godwit_resumed_streams_total", static_cast<double>(counters.resumedStreams));
     line(out, "godwit_broken_off_total", static_cast<double>(counters.brokenOff));
     line(out, "godwit_connections_opened_total", static_cast<double>(counters.connectionsOpened));
@@ -37,7 +37,7 @@
         out << "godwit_attempts_failed_total{cause=\"" << cause << "\"} " << count << '\n';
     }
     for (const auto &[ending, count] : counters.answersEnded) {
-        out << "godwit_answers_ended_total{framing=\"" << answerFramingName(ending.framing) << "\",connection=\""
+        out << "godwit_answers_ended_total{framing=\"" << responseFramingName(ending.framing) << "\",connection=\""
             << connectionEndName(ending.connection) << "\",position=\"" << positionName(ending) << "\"} " << count
             << '\n';
     }
--- a/godwit/daemon/limit_share_keeper.cpp
+++ b/godwit/daemon/limit_share_keeper.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-std::map<int, StandingShare> standingShares(const std::vector<StoreItem> &items, std::size_t prefixLength)
+std::map<int, StoredShare> standingShares(const std::vector<StoreItem> &items, std::size_t prefixLength)
 {
-    std::map<int, StandingShare> standing;
+    std::map<int, StoredShare> standing;
     for (const StoreItem &item : items) {
         int number = 0;
         const char *end = item.key.data() + item.key.size();
@@ -42,16 +42,16 @@
     if (shares.lease != std::exchange(m_lease, shares.lease)) {
         m_nextCall = now + m_options.settle + byLot(m_options.settleSpread);
     }
-    const SenderGroup &group = state.senders;
+    const AdvertisedRouters &group = state.senders;
     const bool sends = std::find(group.routers.begin(), group.routers.end(), group.self) != group.routers.end();
     if (now < m_nextCall || !sends) {
         return;
     }
-    const int fair = fairShares(group.routers.size(), leastShares(m_relay.options().repeats));
+    const int fair = fairShareCount(group.routers.size(), minShares(m_relay.options().repeats));
     const auto surplus = releaseSurplus(shares, m_relay.options().limitShares, fair);
     if (!surplus.empty()) {
         giveBack(surplus, fair);
-    } else if (wantsShares(shares, fair)) {
+    } else if (needsShares(shares, fair)) {
         readStanding(fair);
     }
 }
@@ -93,8 +93,8 @@
         LimitShares &shares = m_relay.state().limitShares;
         if (reply.status == StoreStatus::Ok && shares.lease == lease) {
             const RelayOptions &options = m_relay.options();
-            const TimePoint usable = Relay::now() + options.repeats.window + options.limitShares.lateness;
-            holdShares(shares, claims, reply.revision, usable);
+            const TimePoint usable = Relay::now() + options.repeats.window + options.limitShares.maxSendDelay;
+            addShares(shares, claims, reply.revision, usable);
             m_hadConflict = false;
             logChange("claimed", claims.size(), fair);
         } else if (reply.status == StoreStatus::ConditionFailed) {
@@ -135,7 +135,7 @@
     if (m_hadConflict) {
         return static_cast<int>(m_relay.random() % static_cast<std::uint64_t>(LimitShareCount));
     }
-    const SenderGroup &group = m_relay.state().senders;
+    const AdvertisedRouters &group = m_relay.state().senders;
     const auto before = std::count_if(group.routers.begin(), group.routers.end(), [&group](const std::string &router) {
         return router < group.self;
     });
--- a/godwit/daemon/shared_prefix.cpp
+++ b/godwit/daemon/shared_prefix.cpp
@@ -88,7 +88,7 @@
     const bool standby = !rank();
     const int routers = routersSharing ? routersSharing() : 1;
     const int sharing = standby ? routers : std::min(routers, m_options.readings.readers);
-    m_readingTimer.expires_at(nextReading(m_options.readings, Relay::now(), sharing, drawLot(), standby));
+    m_readingTimer.expires_at(nextReadTime(m_options.readings, Relay::now(), sharing, drawLot(), standby));
     m_readingTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             readInTurn();
@@ -152,7 +152,7 @@
     }
     noteOwnReading(began);
     const auto before = valuesBefore(reply.items);
-    const auto changes = adoptSnapshot(m_copy, reply.items, reply.at);
+    const auto changes = applySnapshot(m_copy, reply.items, reply.at);
     if (!changes.empty()) {
         onChanged(changes);
     }
@@ -175,7 +175,7 @@
 void SharedPrefix::noteOwnReading(TimePoint began)
 {
     m_asOf = std::max(m_asOf, began);
-    Godwit::noteReading(m_agreement, began);
+    Godwit::recordFullRead(m_agreement, began);
     if (!m_readAt) {
         m_firstReadAt = Relay::now();
     }
@@ -278,7 +278,7 @@
     if (m_copy.complete && digestOf(m_copy) == update.state.digest) {
         markComplete(m_copy, update.state.completeTo);
         if (update.fromReading) {
-            noteEqualReading(m_agreement, Relay::now());
+            recordMatchingPeerRead(m_agreement, Relay::now());
         }
         return;
     }
@@ -317,7 +317,7 @@
         return false;
     }
     return elsewhere.newestRevision > newestRevision(m_copy)
-        || (elsewhere.completeTo > m_copy.completeTo && !hasNewer(m_copy, elsewhere.completeTo));
+        || (elsewhere.completeTo > m_copy.completeTo && !hasNewerThan(m_copy, elsewhere.completeTo));
 }
 
 // Catches up with a copy that holds more: from a peer if `ask` is set, and if that brings nothing from the store. Out
@@ -405,7 +405,7 @@
             onFetched({FetchSource::Peer, true, bytesOf(*snapshot.items), Relay::now() - asked});
         }
         const bool first = !m_copy.complete;
-        const auto changes = adoptSnapshot(m_copy, *snapshot.items, snapshot.state.completeTo);
+        const auto changes = applySnapshot(m_copy, *snapshot.items, snapshot.state.completeTo);
         if (first || !changes.empty()) {
             onChanged(changes);
         }
@@ -425,9 +425,9 @@
     const std::uint64_t held = newestRevision(m_copy);
     if (held < snapshot.state.newestRevision && snapshot.newerFor > Duration::zero()) {
         m_lackingTo = std::max(m_lackingTo, snapshot.state.newestRevision);
-        noteAnswer(m_agreement, asked, snapshot.newerFor, Relay::now());
+        recordPeerState(m_agreement, asked, snapshot.newerFor, Relay::now());
     } else if (m_copy.complete && held >= m_lackingTo) {
-        noteAnswer(m_agreement, asked, Duration::zero(), Relay::now());
+        recordPeerState(m_agreement, asked, Duration::zero(), Relay::now());
     }
 }
 
@@ -440,7 +440,7 @@
     snapshot.state = state();
     // While the store is away from here too, there is nothing newer to have.
     snapshot.age = inReach() && m_readAt ? Relay::now() - *m_readAt : Duration::zero();
-    snapshot.newerFor = heldNewerFor(m_changeTimes, request.newestRevision, Relay::now());
+    snapshot.newerFor = timeAheadOf(m_changeTimes, request.newestRevision, Relay::now());
     if (!request.stateOnly && request.digest != snapshot.state.digest) {
         snapshot.items = itemsOf(m_copy);
     }
@@ -506,7 +506,7 @@
             return;
         }
         noteOwnReading(began);
-        onChanged(adoptSnapshot(m_copy, reply.items, reply.at));
+        onChanged(applySnapshot(m_copy, reply.items, reply.at));
     });
 }
 
--- a/godwit/daemon/shared_prefix.h
+++ b/godwit/daemon/shared_prefix.h
@@ -14,9 +14,9 @@
 
 #include "godwit/base/time.h"
 #include "godwit/daemon/prefix_messages.h"
-#include "godwit/gateway/copy_agreement.h"
+#include "godwit/gateway/copy_freshness.h"
 #include "godwit/gateway/prefix_copy.h"
-#include "godwit/gateway/reading_turns.h"
+#include "godwit/gateway/read_schedule.h"
 #include "platform/store_client.h"
 
 #include <boost/asio/io_context.hpp>
@@ -45,7 +45,7 @@
     // Each change goes to every router, so that the pause grows with the fleet, well within the seconds in which a
     // change has to be known. Without it a storm of documents fills the links.
     Duration gatherPerRouter = std::chrono::milliseconds(6);
-    ReadingOptions readings;
+    ReadScheduleOptions readings;
     // A message can overtake another one, from another router, by this much.
     Duration missedAfter = std::chrono::milliseconds(100);
     // What a peer's copy holds besides is on its way here in most cases.
@@ -154,7 +154,7 @@
     }
 
     // What peers have said of the age of this copy.
-    const CopyAgreement &agreement() const
+    const CopyFreshness &agreement() const
     {
         return m_agreement;
     }
@@ -241,7 +241,7 @@
     PrefixState m_wanted; // What is being caught up with.
     TimePoint m_asOf;
     ChangeTimes m_changeTimes;
-    CopyAgreement m_agreement;
+    CopyFreshness m_agreement;
     std::uint64_t m_lackingTo = 0; // A peer is known to hold changes up to this revision.
     TimePoint m_firstReadAt;
     std::optional<TimePoint> m_readAt; // The last reading, of whichever router.
--- a/godwit/daemon/suspect_deaths.cpp
+++ b/godwit/daemon/suspect_deaths.cpp
@@ -23,8 +23,8 @@
 
 void SuspectKeeper::onCut(const RequestCut &cut, std::function<void()> known)
 {
-    const EndpointState *endpoint = findStart(m_relay.state().endpoints, cut.endpoint, cut.start);
-    if (endpoint == nullptr || !takesNewWork(*endpoint)) {
+    const EndpointState *endpoint = findIncarnation(m_relay.state().endpoints, cut.endpoint, cut.start);
+    if (endpoint == nullptr || !acceptsNewRequests(*endpoint)) {
         // It ends as planned.
         if (cut.run.trial) {
             onTrialEnded(cut.run.fingerprint);
@@ -45,21 +45,21 @@
             }
         });
     }
-    CrashWatch &watch = m_relay.state().crashWatch;
-    if (noteCut(watch, endpoint->listed, cut.run)) {
-        askPort(watch.cuts.at(cut.endpoint));
+    CrashDetector &watch = m_relay.state().crashWatch;
+    if (recordInterruption(watch, endpoint->listed, cut.run)) {
+        askPort(watch.interruptions.at(cut.endpoint));
     }
 }
 
-void SuspectKeeper::askPort(const EndpointCuts &cuts)
+void SuspectKeeper::askPort(const EndpointInterruptions &cuts)
 {
     probeEndpoint(m_io, cuts.address, m_options.probeLimit, [this, id = cuts.id](ProbeOutcome outcome) {
-        CrashWatch &watch = m_relay.state().crashWatch;
+        CrashDetector &watch = m_relay.state().crashWatch;
         if (outcome != ProbeOutcome::Refuses) {
-            for (const CutRun &run : noteNoDeath(watch, id)) {
+            for (const InterruptedAttempt &run : recordNoCrash(watch, id)) {
                 onTrialEnded(run.fingerprint);
             }
-        } else if (const auto death = takeDeath(watch, id)) {
+        } else if (const auto death = takeCrash(watch, id)) {
             onDeath(*death, "port_refuses");
         }
         releaseWaiting(id);
@@ -81,31 +81,31 @@
 
 void SuspectKeeper::onListed()
 {
-    CrashWatch &watch = m_relay.state().crashWatch;
-    if (watch.cuts.empty()) {
+    CrashDetector &watch = m_relay.state().crashWatch;
+    if (watch.interruptions.empty()) {
         return;
     }
     std::vector<ListedEndpoint> listed;
     for (const auto &[id, endpoint] : m_relay.state().endpoints.endpoints) {
-        if (!endpoint.gone) {
+        if (!endpoint.delisted) {
             listed.push_back(endpoint.listed);
         }
     }
-    for (const EndpointCuts &death : takeReplaced(watch, listed, Relay::now())) {
+    for (const EndpointInterruptions &death : takeReplacedEndpoints(watch, listed, Relay::now())) {
         onDeath(death, "address_taken");
     }
 }
 
-void SuspectKeeper::onDeath(const EndpointCuts &death, std::string_view sign)
+void SuspectKeeper::onDeath(const EndpointInterruptions &death, std::string_view sign)
 {
     SuspectBook &book = m_relay.state().suspects;
     const TimePoint now = Relay::now();
     forgetOldSuspects(book, now);
     noteContact();
-    const EndpointDeath noted{death.id, {}, death.dataCentre, death.askedFrom, {}};
+    const EndpointDeath noted{death.id, {}, death.dataCentre, death.probedSince, {}};
     std::set<std::uint64_t> fingerprints;
     std::vector<SuspectNotice> notices;
-    for (const CutRun &run : death.runs) {
+    for (const InterruptedAttempt &run : death.attempts) {
         if (run.trial) {
             m_ownTrials.erase(run.fingerprint);
         }
@@ -149,12 +149,12 @@
 }
 
 // Each request with the deaths that count against it and what is believed of it.
-void SuspectKeeper::logDeath(const EndpointCuts &death, std::string_view sign) const
+void SuspectKeeper::logDeath(const EndpointInterruptions &death, std::string_view sign) const
 {
     const SuspectBook &book = m_relay.state().suspects;
     std::string requests;
-    for (std::size_t i = 0; i < std::min(death.runs.size(), m_options.maxShown); ++i) {
-        const std::uint64_t fingerprint = death.runs[i].fingerprint;
+    for (std::size_t i = 0; i < std::min(death.attempts.size(), m_options.maxShown); ++i) {
+        const std::uint64_t fingerprint = death.attempts[i].fingerprint;
         requests.append(requests.empty() ? "" : " ")
             .append(fingerprintText(fingerprint))
             .append(1, ':')
@@ -166,8 +166,8 @@
                         {{"endpoint", std::string_view(death.id.value)},
                          {"service", std::string_view(death.service)},
                          {"sign", sign},
-                         {"known_after_ms", toSeconds(Relay::now() - death.askedFrom) * 1000},
-                         {"under_way", static_cast<std::int64_t>(death.runs.size())},
+                         {"known_after_ms", toSeconds(Relay::now() - death.probedSince) * 1000},
+                         {"under_way", static_cast<std::int64_t>(death.attempts.size())},
                          {"requests", std::string_view(requests)}});
 }
 
--- a/godwit/daemon/suspect_keeper.cpp
+++ b/godwit/daemon/suspect_keeper.cpp
@@ -124,7 +124,7 @@
 void SuspectKeeper::onWholeAnswer(std::uint64_t fingerprint)
 {
     RelayState &state = m_relay.state();
-    forgetCutsOf(state.crashWatch, fingerprint);
+    forgetInterruptionsOf(state.crashWatch, fingerprint);
     m_labels.erase(fingerprint);
     m_ownTrials.erase(fingerprint);
     const auto known = m_records.find(fingerprint);
--- a/godwit/daemon/suspect_keeper.h
+++ b/godwit/daemon/suspect_keeper.h
@@ -10,7 +10,7 @@
 
 #include "godwit/base/time.h"
 #include "godwit/daemon/first_death_keeper.h"
-#include "godwit/gateway/crash_watch.h"
+#include "godwit/gateway/crash_detector.h"
 #include "godwit/gateway/store_item.h"
 #include "godwit/relay/relay.h"
 #include "godwit/suspects/suspect_notice.h"
@@ -98,10 +98,10 @@
     };
 
     void onCut(const RequestCut &cut, std::function<void()> known);
-    void askPort(const EndpointCuts &cuts);
+    void askPort(const EndpointInterruptions &cuts);
     void releaseWaiting(const EndpointId &endpoint);
-    void onDeath(const EndpointCuts &death, std::string_view sign);
-    void logDeath(const EndpointCuts &death, std::string_view sign) const;
+    void onDeath(const EndpointInterruptions &death, std::string_view sign);
+    void logDeath(const EndpointInterruptions &death, std::string_view sign) const;
     void noteContact();
     void onCleared(std::uint64_t fingerprint);
     void noteToldDeath(const SuspectNotice &notice);
--- a/godwit/daemon/suspect_trials.cpp
+++ b/godwit/daemon/suspect_trials.cpp
@@ -69,7 +69,7 @@
     }
     const auto &endpoints = m_relay.state().endpoints.endpoints;
     const auto found = endpoints.find(trial->endpoint);
-    if (found != endpoints.end() && !found->second.gone) {
+    if (found != endpoints.end() && !found->second.delisted) {
         return Relay::now() >= known.seenAt + m_options.trialLimit;
     }
     // Its router has told nothing, and the endpoint is no more.
--- a/godwit/gateway/cold_start.h
+++ b/godwit/gateway/cold_start.h
@@ -11,9 +11,9 @@
 //
 // Example:
 //   const ColdStartPlan plan = planColdStart(limit, bounds);
-//   const int licences = countLicences(plan, endpoint, usableShares(shares, now, uptime));
-//   if (!isCold(state, now) || mayReceiveCold(state, licences, now)) { ... a candidate ... }
-//   noteColdSend(state, plan, licences, now);
+//   const int licences = countPermits(plan, endpoint, usableShares(shares, now, uptime));
+//   if (!isCold(state, now) || maySendWhileCold(state, licences, now)) { ... a candidate ... }
+//   recordColdSend(state, plan, licences, now);
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -26,7 +26,7 @@
 struct ColdStartLimit
 {
     double requestsPerSecond = 0; // 0: as many as when they are warm.
-    Duration lasts{}; // From a start, or from the loss of the warm state.
+    Duration duration{}; // From a start, or from the loss of the warm state.
 };
 
 // How far the fleet may exceed the limit within one second.
@@ -38,8 +38,8 @@
 
 struct ColdStartPlan
 {
-    double mostPerSecond = 0; // Requests to one cold endpoint within any second.
-    int licences = 0; // Shares whose holders send to one endpoint; 0: none does.
+    double maxRequestsPerSecond = 0; // Requests to one cold endpoint within any second.
+    int permits = 0; // Shares whose holders send to one endpoint; 0: none does.
 };
 
 struct ColdState
@@ -54,11 +54,11 @@
 bool isCold(const ColdState &state, TimePoint now);
 
 // How many of the endpoint's licences are among the shares that this router may use.
-int countLicences(const ColdStartPlan &plan, const EndpointId &endpoint, const ShareNumbers &usable);
+int countPermits(const ColdStartPlan &plan, const EndpointId &endpoint, const ShareSet &usable);
 
 // Whether this router is one of the endpoint's senders, and its next request is due.
-bool mayReceiveCold(const ColdState &state, int licences, TimePoint now);
+bool maySendWhileCold(const ColdState &state, int permits, TimePoint now);
 
-void noteColdSend(ColdState &state, const ColdStartPlan &plan, int licences, TimePoint now);
+void recordColdSend(ColdState &state, const ColdStartPlan &plan, int permits, TimePoint now);
 
 } // namespace Godwit
--- a/godwit/gateway/cold_start_test.cpp
+++ b/godwit/gateway/cold_start_test.cpp
@@ -113,9 +113,9 @@
         CHECK(count <= 10 * 1.5 + 5);
     }
     CHECK(fleet.refused > 900);
-    CHECK(warmAgainAt(fleet.tables[0], Service, Start) == warm);
-    CHECK_FALSE(warmAgainAt(fleet.tables[0], Service, warm));
-    CHECK_FALSE(warmAgainAt(fleet.tables[0], "another", Start));
+    CHECK(nextWarmAt(fleet.tables[0], Service, Start) == warm);
+    CHECK_FALSE(nextWarmAt(fleet.tables[0], Service, warm));
+    CHECK_FALSE(nextWarmAt(fleet.tables[0], "another", Start));
 }
 
 TEST_CASE("a warm endpoint takes what it can")
@@ -145,24 +145,24 @@
 TEST_CASE("limits that leave no room for a steady rate leave cold endpoints alone")
 {
     const EndpointId id{"e"};
-    const ShareNumbers all = ShareNumbers().set();
-    CHECK(countLicences(planColdStart({1, std::chrono::seconds(3)}, {1, 0}), id, all) == 0);
+    const ShareSet all = ShareSet().set();
+    CHECK(countPermits(planColdStart({1, std::chrono::seconds(3)}, {1, 0}), id, all) == 0);
     ColdState state;
     const ColdStartPlan plan = planColdStart({2, std::chrono::seconds(3)}, {1.5, 5});
-    const int licences = countLicences(plan, id, all);
-    CHECK(licences == 2);
-    CHECK(mayReceiveCold(state, licences, Start));
-    noteColdSend(state, plan, licences, Start);
-    CHECK_FALSE(mayReceiveCold(state, licences, Start + std::chrono::milliseconds(490)));
-    CHECK(mayReceiveCold(state, licences, Start + std::chrono::milliseconds(510)));
+    const int permits = countPermits(plan, id, all);
+    CHECK(permits == 2);
+    CHECK(maySendWhileCold(state, permits, Start));
+    recordColdSend(state, plan, permits, Start);
+    CHECK_FALSE(maySendWhileCold(state, permits, Start + std::chrono::milliseconds(490)));
+    CHECK(maySendWhileCold(state, permits, Start + std::chrono::milliseconds(510)));
 }
 
 TEST_CASE("a router without shares sends nothing to cold endpoints")
 {
     const ColdStartPlan plan = planColdStart({17, std::chrono::seconds(3)}, {1.5, 5});
-    const int licences = countLicences(plan, EndpointId{"e"}, {});
-    CHECK(licences == 0);
-    CHECK_FALSE(mayReceiveCold({}, licences, Start));
+    const int permits = countPermits(plan, EndpointId{"e"}, {});
+    CHECK(permits == 0);
+    CHECK_FALSE(maySendWhileCold({}, permits, Start));
 }
 
 TEST_CASE("routers that hear nothing of each other don't flood an endpoint that comes back cold")
--- a/godwit/gateway/connection_pause.cpp
+++ b/godwit/gateway/connection_pause.cpp
@@ -7,62 +7,61 @@
 namespace
 {
 
-constexpr Duration CountingTime = std::chrono::milliseconds(500);
+constexpr Duration RateInterval = std::chrono::milliseconds(500);
 // What is left of the rate after another counting time.
-constexpr double Fades = 0.85;
+constexpr double RateDecay = 0.85;
 // A queue may have emptied or grown since.
-constexpr Duration LagCountsFor = std::chrono::seconds(1);
+constexpr Duration LagValidity = std::chrono::seconds(1);
 
-bool isOverloaded(const ConnectionPauses &pauses, const ConnectionPauseOptions &options)
+bool isOverloaded(const ConnectionPauseState &pauses, const ConnectionPauseOptions &options)
 {
-    return pauses.requestsPerSecond > options.overloadedFrom * options.capacity;
+    return pauses.requestsPerSecond > options.overloadUtilization * options.capacity;
 }
 
-Duration lagNow(const ConnectionPauses &pauses, TimePoint now)
+Duration currentLag(const ConnectionPauseState &pauses, TimePoint now)
 {
-    return now < pauses.lagSeenAt + LagCountsFor ? pauses.lag : Duration::zero();
+    return now < pauses.lagMeasuredAt + LagValidity ? pauses.lag : Duration::zero();
 }
 
 } // namespace
 
-void noteRequests(ConnectionPauses &pauses, std::uint64_t requests, TimePoint now)
+void recordRequestCount(ConnectionPauseState &pauses, std::uint64_t requests, TimePoint now)
 {
     const Duration passed = now - pauses.countedAt;
-    if (passed < CountingTime) {
+    if (passed < RateInterval) {
         return;
     }
-    const double rate = static_cast<double>(requests - pauses.counted) / toSeconds(passed);
-    pauses.requestsPerSecond = std::max(rate, pauses.requestsPerSecond * Fades);
-    pauses.counted = requests;
+    const double rate = static_cast<double>(requests - pauses.countedRequests) / toSeconds(passed);
+    pauses.requestsPerSecond = std::max(rate, pauses.requestsPerSecond * RateDecay);
+    pauses.countedRequests = requests;
     pauses.countedAt = now;
 }
 
-void noteLag(ConnectionPauses &pauses, Duration lag, TimePoint now)
+void recordMessageLag(ConnectionPauseState &pauses, Duration lag, TimePoint now)
 {
     pauses.lag = lag;
-    pauses.lagSeenAt = now;
+    pauses.lagMeasuredAt = now;
 }
 
-bool endsConnections(const ConnectionPauses &pauses, const ConnectionPauseOptions &options, TimePoint now)
+bool shouldCloseConnections(const ConnectionPauseState &pauses, const ConnectionPauseOptions &options, TimePoint now)
 {
-    return lagNow(pauses, now) >= options.endConnectionsFrom && isOverloaded(pauses, options);
+    return currentLag(pauses, now) >= options.closeConnectionsLag && isOverloaded(pauses, options);
 }
 
-std::optional<Duration> pauseFor(ConnectionPauses &pauses,
-                                 bool behind,
-                                 const ConnectionPauseOptions &options,
-                                 TimePoint now)
+std::optional<Duration> computePause(ConnectionPauseState &pauses,
+                                     bool stale,
+                                     const ConnectionPauseOptions &options,
+                                     TimePoint now)
 {
-    const Duration lag = lagNow(pauses, now);
-    const bool late = lag >= options.lagFrom;
-    if (!(late || behind) || !isOverloaded(pauses, options) || now < pauses.until + options.leastBetween) {
+    const Duration lag = currentLag(pauses, now);
+    const bool late = lag >= options.lagThreshold;
+    if (!(late || stale) || !isOverloaded(pauses, options) || now < pauses.pausedUntil + options.minInterval) {
         return std::nullopt;
     }
-    const auto empties = std::chrono::duration_cast<Duration>(lag * options.emptiesWithin);
-    const Duration pause =
-        std::min(std::max(empties, behind ? options.whileBehind : Duration::zero()), options.longest);
-    pauses.until = now + pause;
-    pauses.lagSeenAt = TimePoint{};
+    const auto drains = std::chrono::duration_cast<Duration>(lag * options.drainFactor);
+    const Duration pause = std::min(std::max(drains, stale ? options.stalePause : Duration::zero()), options.maxPause);
+    pauses.pausedUntil = now + pause;
+    pauses.lagMeasuredAt = TimePoint{};
     return pause;
 }
 
--- a/godwit/gateway/connection_pause.h
+++ b/godwit/gateway/connection_pause.h
@@ -8,9 +8,9 @@
 // the callers hear at once that they have to go elsewhere.
 //
 // Pure. Example:
-//   noteRequests(pauses, counters.requests, now);
+//   recordRequestCount(pauses, counters.requests, now);
 //   noteLag(pauses, lag, now);
-//   if (const auto pause = pauseFor(pauses, isBehind, options, now)) { listener.pause(*pause); }
+//   if (const auto pause = computePause(pauses, isBehind, options, now)) { listener.pause(*pause); }
 
 #include "godwit/base/time.h"
 
@@ -25,44 +25,44 @@
     double capacity = 0; // Requests a second that the host can take.
     // Hosts are planned to be loaded up to this part of their capacity. Below it what is late has another cause, such
     // as a process that stood still, and callers would be turned away for nothing.
-    double overloadedFrom = 0.5;
+    double overloadUtilization = 0.5;
     // Messages of other routers that come so late show a queue before this host.
-    Duration lagFrom = std::chrono::milliseconds(150);
+    Duration lagThreshold = std::chrono::milliseconds(150);
     // From this lag on connections end after their answers, so that a pause also holds for those callers.
-    Duration endConnectionsFrom = std::chrono::milliseconds(60);
+    Duration closeConnectionsLag = std::chrono::milliseconds(60);
     // A pause is longer than the lag by this factor: what has been sent since still comes.
-    double emptiesWithin = 1.5;
-    Duration whileBehind = std::chrono::seconds(1);
+    double drainFactor = 1.5;
+    Duration stalePause = std::chrono::seconds(1);
     // A host that says that it is ready has to take connections every few seconds.
-    Duration longest = std::chrono::milliseconds(1500);
-    Duration leastBetween = std::chrono::milliseconds(100);
+    Duration maxPause = std::chrono::milliseconds(1500);
+    Duration minInterval = std::chrono::milliseconds(100);
 };
 
-struct ConnectionPauses
+struct ConnectionPauseState
 {
-    Duration lag{}; // As last seen, at `lagSeenAt`.
-    TimePoint lagSeenAt;
-    TimePoint until; // End of the last pause.
+    Duration lag{}; // As last seen, at `lagMeasuredAt`.
+    TimePoint lagMeasuredAt;
+    TimePoint pausedUntil; // End of the last pause.
     TimePoint countedAt;
-    std::uint64_t counted = 0; // Requests up to then.
+    std::uint64_t countedRequests = 0; // Requests up to then.
     double requestsPerSecond = 0;
 };
 
 // Takes the number of requests since the start of the process. The highest rate of the last moments counts: during a
 // pause hardly any come.
-void noteRequests(ConnectionPauses &pauses, std::uint64_t requests, TimePoint now);
+void recordRequestCount(ConnectionPauseState &pauses, std::uint64_t requests, TimePoint now);
 
 // Takes how late another router's message was.
-void noteLag(ConnectionPauses &pauses, Duration lag, TimePoint now);
+void recordMessageLag(ConnectionPauseState &pauses, Duration lag, TimePoint now);
 
 // Whether connections should end after their answers.
-bool endsConnections(const ConnectionPauses &pauses, const ConnectionPauseOptions &options, TimePoint now);
+bool shouldCloseConnections(const ConnectionPauseState &pauses, const ConnectionPauseOptions &options, TimePoint now);
 
 // For how long the host should take no connections from now on; nullopt when it should go on. `behind`: it refuses all
 // requests until its copies are new again.
-std::optional<Duration> pauseFor(ConnectionPauses &pauses,
-                                 bool behind,
-                                 const ConnectionPauseOptions &options,
-                                 TimePoint now);
+std::optional<Duration> computePause(ConnectionPauseState &pauses,
+                                     bool stale,
+                                     const ConnectionPauseOptions &options,
+                                     TimePoint now);
 
 } // namespace Godwit
--- a/godwit/gateway/connection_pause_test.cpp
+++ b/godwit/gateway/connection_pause_test.cpp
@@ -43,7 +43,7 @@
         bool request = false;
     };
     const ConnectionPauseOptions options = smallHost();
-    ConnectionPauses state;
+    ConnectionPauseState state;
     Outcome outcome;
     std::deque<Arriving> queue;
     std::uint64_t taken = 0;
@@ -51,7 +51,7 @@
     double room = 0;
     TimePoint now{std::chrono::seconds(1)};
     for (const TimePoint end = now + std::chrono::seconds(30); now < end; now += Step) {
-        const bool closed = pauses && now < state.until;
+        const bool closed = pauses && now < state.pausedUntil;
         owedRequests += requestsPerSecond * toSeconds(Step);
         while (owedRequests >= 1) {
             owedRequests -= 1;
@@ -67,11 +67,11 @@
             taken += arrived.request ? 1 : 0;
             outcome.inTime += arrived.request && now - arrived.sentAt <= InTime ? 1 : 0;
             if (!arrived.request) {
-                noteLag(state, now - arrived.sentAt, now);
+                recordMessageLag(state, now - arrived.sentAt, now);
             }
         }
-        noteRequests(state, taken, now);
-        if (const auto pause = pauseFor(state, false, options, now); pause && pauses) {
+        recordRequestCount(state, taken, now);
+        if (const auto pause = computePause(state, false, options, now); pause && pauses) {
             outcome.longestClosed = std::max(outcome.longestClosed, *pause);
             for (Arriving &arriving : queue) {
                 arriving.request = false;
@@ -82,15 +82,15 @@
 }
 
 // A host that gets this many requests a second and has just seen this lag.
-std::optional<Duration> pauseOf(double requestsPerSecond, Duration lag, bool behind)
+std::optional<Duration> pauseOf(double requestsPerSecond, Duration lag, bool stale)
 {
     const TimePoint start{std::chrono::seconds(1)};
     const TimePoint now = start + std::chrono::seconds(1);
-    ConnectionPauses pauses;
-    noteRequests(pauses, 0, start);
-    noteRequests(pauses, static_cast<std::uint64_t>(requestsPerSecond), now);
-    noteLag(pauses, lag, now);
-    return pauseFor(pauses, behind, smallHost(), now);
+    ConnectionPauseState pauses;
+    recordRequestCount(pauses, 0, start);
+    recordRequestCount(pauses, static_cast<std::uint64_t>(requestsPerSecond), now);
+    recordMessageLag(pauses, lag, now);
+    return computePause(pauses, stale, smallHost(), now);
 }
 
 } // namespace
@@ -109,7 +109,7 @@
     const Outcome without = serve(800, false);
     const Outcome with = serve(800, true);
     CHECK(with.inTime > 5 * without.inTime);
-    CHECK(with.longestClosed <= smallHost().longest);
+    CHECK(with.longestClosed <= smallHost().maxPause);
 }
 
 TEST_CASE("what a link carries is never turned away")
@@ -130,7 +130,7 @@
 
 TEST_CASE("a host that is behind takes no connections for a moment, though no message shows its queue")
 {
-    CHECK(pauseOf(100, Duration::zero(), true) == smallHost().whileBehind);
+    CHECK(pauseOf(100, Duration::zero(), true) == smallHost().stalePause);
     CHECK_FALSE(pauseOf(100, Duration::zero(), false));
 }
 
@@ -139,27 +139,27 @@
     // Guards against a host that says that it is ready and takes no connection for seconds.
     const ConnectionPauseOptions options = smallHost();
     const TimePoint start{std::chrono::seconds(1)};
-    ConnectionPauses pauses;
-    noteRequests(pauses, 0, start);
-    noteRequests(pauses, 1000, start + std::chrono::seconds(1));
+    ConnectionPauseState pauses;
+    recordRequestCount(pauses, 0, start);
+    recordRequestCount(pauses, 1000, start + std::chrono::seconds(1));
     TimePoint now = start + std::chrono::seconds(1);
-    const auto first = pauseFor(pauses, true, options, now);
+    const auto first = computePause(pauses, true, options, now);
     REQUIRE(first);
     now += *first;
-    CHECK_FALSE(pauseFor(pauses, true, options, now));
-    CHECK_FALSE(pauseFor(pauses, true, options, now + options.leastBetween / 2));
-    CHECK(pauseFor(pauses, true, options, now + options.leastBetween));
+    CHECK_FALSE(computePause(pauses, true, options, now));
+    CHECK_FALSE(computePause(pauses, true, options, now + options.minInterval / 2));
+    CHECK(computePause(pauses, true, options, now + options.minInterval));
 }
 
 TEST_CASE("connections end after their answers while a queue shows, and only then")
 {
     const ConnectionPauseOptions options = smallHost();
     const TimePoint now{std::chrono::seconds(5)};
-    ConnectionPauses pauses;
-    noteRequests(pauses, 1000, now);
-    noteLag(pauses, options.endConnectionsFrom, now);
-    CHECK(endsConnections(pauses, options, now));
-    CHECK_FALSE(endsConnections(pauses, options, now + std::chrono::seconds(2)));
-    noteLag(pauses, options.endConnectionsFrom / 2, now);
-    CHECK_FALSE(endsConnections(pauses, options, now));
+    ConnectionPauseState pauses;
+    recordRequestCount(pauses, 1000, now);
+    recordMessageLag(pauses, options.closeConnectionsLag, now);
+    CHECK(shouldCloseConnections(pauses, options, now));
+    CHECK_FALSE(shouldCloseConnections(pauses, options, now + std::chrono::seconds(2)));
+    recordMessageLag(pauses, options.closeConnectionsLag / 2, now);
+    CHECK_FALSE(shouldCloseConnections(pauses, options, now));
 }
--- a/godwit/gateway/crash_watch.h
+++ b/godwit/gateway/crash_detector.h
@@ -8,8 +8,8 @@
 // Pure: time is passed in.
 //
 // Example:
-//   if (noteCut(watch, endpoint, run, now)) { ...ask the endpoint's port... }
-//   if (const auto death = takeDeath(watch, endpoint.id)) { ...its runs were under way... }
+//   if (recordInterruption(watch, endpoint, run, now)) { ...ask the endpoint's port... }
+//   if (const auto death = takeCrash(watch, endpoint.id)) { ...its runs were under way... }
 
 #include "godwit/base/time.h"
 #include "godwit/gateway/endpoint_table.h"
@@ -23,53 +23,55 @@
 namespace Godwit
 {
 
-struct CrashWatchOptions
+struct CrashDetectorOptions
 {
     // An endpoint that starts at once accepts again before its port is asked; its new entry comes within this time.
-    Duration entryLate = std::chrono::seconds(8);
-    std::size_t maxRunsPerEndpoint = 256;
+    Duration replacementTimeout = std::chrono::seconds(8);
+    std::size_t maxAttemptsPerEndpoint = 256;
 };
 
 // One run that ended with its connection.
-struct CutRun
+struct InterruptedAttempt
 {
     std::uint64_t fingerprint = 0;
     TimePoint sentAt;
-    TimePoint cutAt;
+    TimePoint interruptedAt;
     bool trial = false; // Of a request that is tried by itself.
 };
 
-struct EndpointCuts
+struct EndpointInterruptions
 {
     EndpointId id;
     std::string service;
     std::string address;
     DataCentreId dataCentre;
-    bool asking = false; // Its port has been asked and has not answered.
-    TimePoint askedFrom; // The first cut that the open or latest question is about.
-    std::vector<CutRun> runs;
+    bool probing = false; // Its port has been asked and has not answered.
+    TimePoint probedSince; // The first cut that the open or latest question is about.
+    std::vector<InterruptedAttempt> attempts;
 };
 
-struct CrashWatch
+struct CrashDetector
 {
-    CrashWatchOptions options;
-    std::map<EndpointId, EndpointCuts> cuts;
+    CrashDetectorOptions options;
+    std::map<EndpointId, EndpointInterruptions> interruptions;
 };
 
 // Returns whether the endpoint's port is to be asked now; an open question serves this cut as well.
-bool noteCut(CrashWatch &watch, const ListedEndpoint &endpoint, const CutRun &run);
+bool recordInterruption(CrashDetector &detector, const ListedEndpoint &endpoint, const InterruptedAttempt &attempt);
 
 // The endpoint's port refuses: it has died, with the runs that were cut since its port was asked.
-std::optional<EndpointCuts> takeDeath(CrashWatch &watch, const EndpointId &endpoint);
+std::optional<EndpointInterruptions> takeCrash(CrashDetector &detector, const EndpointId &endpoint);
 
 // The endpoint's port accepts, or doesn't answer. Returns the trials among the runs that were asked for.
-std::vector<CutRun> noteNoDeath(CrashWatch &watch, const EndpointId &endpoint);
+std::vector<InterruptedAttempt> recordNoCrash(CrashDetector &detector, const EndpointId &endpoint);
 
 // Endpoints whose address another one has now, with the runs that were cut last. Forgets cuts that are too old to be
 // explained.
-std::vector<EndpointCuts> takeReplaced(CrashWatch &watch, const std::vector<ListedEndpoint> &listed, TimePoint now);
+std::vector<EndpointInterruptions> takeReplacedEndpoints(CrashDetector &detector,
+                                                         const std::vector<ListedEndpoint> &listed,
+                                                         TimePoint now);
 
 // A request was answered whole, so that none of its cuts was its doing.
-void forgetCutsOf(CrashWatch &watch, std::uint64_t fingerprint);
+void forgetInterruptionsOf(CrashDetector &detector, std::uint64_t fingerprint);
 
 } // namespace Godwit
--- a/godwit/gateway/crash_watch_test.cpp
+++ b/godwit/gateway/crash_detector_test.cpp
@@ -1,4 +1,4 @@
-#include "godwit/gateway/crash_watch.h"
+#include "godwit/gateway/crash_detector.h"
 #include "godwit/gateway/request_identity.h"
 
 #include <catch2/catch.hpp>
@@ -20,7 +20,7 @@
     return endpoint;
 }
 
-CutRun runAt(std::uint64_t fingerprint, Duration after, bool trial = false)
+InterruptedAttempt attemptAt(std::uint64_t fingerprint, Duration after, bool trial = false)
 {
     return {fingerprint, Start + after - 40ms, Start + after, trial};
 }
@@ -30,53 +30,53 @@
 // Guards against deaths that are seen where a single connection broke.
 TEST_CASE("a cut is a death once the endpoint's port refuses, with the runs of that moment")
 {
-    CrashWatch watch;
+    CrashDetector detector;
     const ListedEndpoint endpoint = endpointAt("a", "10.0.0.1:80");
-    CHECK(noteCut(watch, endpoint, runAt(1, 0s)));
-    CHECK_FALSE(noteCut(watch, endpoint, runAt(2, 1ms)));
-    CHECK(noteNoDeath(watch, endpoint.id).empty());
-    CHECK(noteCut(watch, endpoint, runAt(3, 1s, true)));
-    CHECK_FALSE(noteCut(watch, endpoint, runAt(4, 1s)));
-    const auto death = takeDeath(watch, endpoint.id);
-    REQUIRE(death);
-    REQUIRE(death->runs.size() == 2);
-    CHECK(death->runs[0].fingerprint == 3);
-    CHECK(death->askedFrom == Start + 1s);
-    CHECK_FALSE(takeDeath(watch, endpoint.id));
+    CHECK(recordInterruption(detector, endpoint, attemptAt(1, 0s)));
+    CHECK_FALSE(recordInterruption(detector, endpoint, attemptAt(2, 1ms)));
+    CHECK(recordNoCrash(detector, endpoint.id).empty());
+    CHECK(recordInterruption(detector, endpoint, attemptAt(3, 1s, true)));
+    CHECK_FALSE(recordInterruption(detector, endpoint, attemptAt(4, 1s)));
+    const auto crash = takeCrash(detector, endpoint.id);
+    REQUIRE(crash);
+    REQUIRE(crash->attempts.size() == 2);
+    CHECK(crash->attempts[0].fingerprint == 3);
+    CHECK(crash->probedSince == Start + 1s);
+    CHECK_FALSE(takeCrash(detector, endpoint.id));
 }
 
 TEST_CASE("trials whose endpoint lives are handed back once")
 {
-    CrashWatch watch;
+    CrashDetector detector;
     const ListedEndpoint endpoint = endpointAt("a", "10.0.0.1:80");
-    noteCut(watch, endpoint, runAt(1, 0s, true));
-    CHECK(noteNoDeath(watch, endpoint.id).size() == 1);
-    CHECK(noteNoDeath(watch, endpoint.id).empty());
+    recordInterruption(detector, endpoint, attemptAt(1, 0s, true));
+    CHECK(recordNoCrash(detector, endpoint.id).size() == 1);
+    CHECK(recordNoCrash(detector, endpoint.id).empty());
 }
 
 // Guards against endpoints that are back before their port is asked.
 TEST_CASE("another endpoint at the address says that the one before has died")
 {
-    CrashWatch watch;
+    CrashDetector detector;
     const ListedEndpoint endpoint = endpointAt("a", "10.0.0.1:80");
-    noteCut(watch, endpoint, runAt(1, 0s));
-    noteNoDeath(watch, endpoint.id);
-    CHECK(takeReplaced(watch, {endpoint}, Start + 1s).empty());
-    const auto replaced = takeReplaced(watch, {endpointAt("b", "10.0.0.1:80")}, Start + 2s);
+    recordInterruption(detector, endpoint, attemptAt(1, 0s));
+    recordNoCrash(detector, endpoint.id);
+    CHECK(takeReplacedEndpoints(detector, {endpoint}, Start + 1s).empty());
+    const auto replaced = takeReplacedEndpoints(detector, {endpointAt("b", "10.0.0.1:80")}, Start + 2s);
     REQUIRE(replaced.size() == 1);
     CHECK(replaced[0].id == endpoint.id);
-    noteCut(watch, endpoint, runAt(1, 10s));
-    CHECK(takeReplaced(watch, {}, Start + 30s).empty());
-    CHECK(watch.cuts.empty());
+    recordInterruption(detector, endpoint, attemptAt(1, 10s));
+    CHECK(takeReplacedEndpoints(detector, {}, Start + 30s).empty());
+    CHECK(detector.interruptions.empty());
 }
 
 TEST_CASE("what was answered whole is held against no endpoint's end")
 {
-    CrashWatch watch;
+    CrashDetector detector;
     const ListedEndpoint endpoint = endpointAt("a", "10.0.0.1:80");
-    noteCut(watch, endpoint, runAt(1, 0s));
-    forgetCutsOf(watch, 1);
-    CHECK(watch.cuts.empty());
+    recordInterruption(detector, endpoint, attemptAt(1, 0s));
+    forgetInterruptionsOf(detector, 1);
+    CHECK(detector.interruptions.empty());
 }
 
 // Guards against customers that condemn each other's requests.
--- a/godwit/gateway/endpoint_table.h
+++ b/godwit/gateway/endpoint_table.h
@@ -34,7 +34,7 @@
 
 // When an endpoint started, in Unix milliseconds; 0 when it doesn't say. An endpoint may start again under its id: it
 // then knows nothing of what it was sent before.
-using EndpointStart = std::int64_t;
+using EndpointIncarnation = std::int64_t;
 
 struct ListedEndpoint
 {
@@ -43,8 +43,8 @@
     std::string address; // "ip:port".
     DataCentreId dataCentre;
     int slots = 0;
-    bool leaving = false;
-    EndpointStart startedAt = 0;
+    bool draining = false;
+    EndpointIncarnation startedAt = 0;
     RegionId region; // Of its data centre; empty when the settings don't name it.
     Duration coldFor{}; // How much longer it was cold when it said so.
     TimePoint coldUntil; // The same by this router's clock.
@@ -52,7 +52,7 @@
 };
 
 // How an attempt ended, as far as it speaks of its endpoint.
-enum class AttemptVerdict {
+enum class AttemptFeedback {
     Good,
     Shed, // It was full and said so.
     Failed, // It answered that it failed, or its answer was unusable.
@@ -66,22 +66,22 @@
     ListedEndpoint listed;
     int inFlight = 0;
     double failureRate = 0; // Exponential average of Failed, Unreachable and Slow among the last attempts.
-    int failuresInRow = 0;
-    TimePoint avoidUntil; // After failures: used only when nobody else is left.
+    int consecutiveFailures = 0;
+    TimePoint backoffUntil; // After failures: used only when nobody else is left.
     EngineLoad load; // Of a model engine.
     ColdState cold;
-    bool gone = false; // The list no longer names it: no new work.
+    bool delisted = false; // The list no longer names it: no new work.
 };
 
 // One prompt that goes to one engine, as the other routers are told of it.
 struct PromptSent
 {
     EndpointId endpoint;
-    Tokens unread = 0; // What the engine has to read of it.
-    std::string part; // The shared part that the engine then keeps; empty: none.
+    Tokens uncachedTokens = 0; // What the engine has to read of it.
+    std::string prefix; // The shared part that the engine then keeps; empty: none.
 };
 
-struct RecentPlace
+struct RecentPlacement
 {
     EndpointId endpoint;
     TimePoint until;
@@ -91,36 +91,36 @@
 {
     std::map<EndpointId, EndpointState> endpoints;
     std::map<std::string, std::vector<EndpointId>> byService; // Those that may get work.
-    std::map<std::string, EngineSpeed> speeds; // By service.
+    std::map<std::string, PrefillSpeed> prefillSpeeds; // By service.
     std::map<std::string, ColdStartPlan> coldPlans; // By service; only of those whose cold endpoints are limited.
-    ShareNumbers usableShares; // Of the fleet's limits; up to date where `coldPlans` has any.
+    ShareSet usableShares; // Of the fleet's limits; up to date where `coldPlans` has any.
     // Where a shared part of a prompt has lately been sent besides its usual place: the engine keeps it for a while.
     // By part.
-    std::map<std::string, RecentPlace, std::less<>> recentPlaces;
+    std::map<std::string, RecentPlacement, std::less<>> recentPlacements;
 };
 
 struct ChoiceOptions
 {
     // Reading a shared part again where it isn't kept counts as this multiple of its time: it also delays whatever
     // comes next there.
-    double rereadWeight = 10;
+    double recomputeWeight = 10;
     // Up to this part of the latency target a later first event costs nobody anything; beyond it each millisecond
-    // counts `lateWeight` times, since the estimate may be short by as much again.
-    double carefreePart = 0.25;
-    double lateWeight = 4;
+    // counts `latenessWeight` times, since the estimate may be short by as much again.
+    double toleratedFraction = 0.25;
+    double latenessWeight = 4;
     // A full engine counts as this far behind: between engines that have read all, the emptier one.
-    Duration fullPenalty = std::chrono::milliseconds(20);
+    Duration occupancyPenalty = std::chrono::milliseconds(20);
     // How long an engine is taken to keep a part that this router sent there. Engines keep much longer when they have
     // room; what is older was most likely asked for elsewhere since.
-    Duration placeKept = std::chrono::seconds(8);
-    std::size_t placesKept = 4096;
+    Duration placementTtl = std::chrono::seconds(8);
+    std::size_t maxPlacements = 4096;
     // How long an endpoint is left alone after its first failure in a row; doubles up to the limit.
-    Duration avoidFirst = std::chrono::milliseconds(300);
-    Duration avoidLimit = std::chrono::seconds(3);
+    Duration initialBackoff = std::chrono::milliseconds(300);
+    Duration maxBackoff = std::chrono::seconds(3);
     // After a shed: a queue of an endpoint drains a few requests within this time.
-    Duration avoidShed = std::chrono::milliseconds(100);
+    Duration shedBackoff = std::chrono::milliseconds(100);
     // Weight of the newest attempt in the averages.
-    double newest = 0.1;
+    double ewmaWeight = 0.1;
 };
 
 struct ChoiceQuery
@@ -141,12 +141,12 @@
 std::vector<EndpointId> replaceEndpoints(EndpointTable &table, const std::vector<ListedEndpoint> &listed);
 
 // The state of that start of an endpoint, or null when it has gone or started anew since.
-EndpointState *findStart(EndpointTable &table, const EndpointId &id, EndpointStart startedAt);
+EndpointState *findIncarnation(EndpointTable &table, const EndpointId &id, EndpointIncarnation startedAt);
 
 struct Choice
 {
     EndpointState *endpoint = nullptr; // Null when the service has none that may get this request now.
-    Tokens unread = 0; // What it has to read of the prompt.
+    Tokens uncachedTokens = 0; // What it has to read of the prompt.
     bool cold = false; // The endpoint is cold, and this is one of the few requests that it gets.
 };
 
@@ -155,19 +155,19 @@
     EndpointTable &table, const ChoiceQuery &query, const ChoiceOptions &options, std::uint64_t random, TimePoint now);
 
 // Another router has sent a prompt to an engine.
-void notePromptElsewhere(EndpointTable &table, const PromptSent &prompt, const ChoiceOptions &options, TimePoint now);
+void recordRemotePrompt(EndpointTable &table, const PromptSent &prompt, const ChoiceOptions &options, TimePoint now);
 
 // Whether the endpoint may still get a request that it was chosen for.
-bool takesNewWork(const EndpointState &endpoint);
+bool acceptsNewRequests(const EndpointState &endpoint);
 
 // Whether the endpoint is cold and the fleet limits what it gets.
-bool isLimited(const EndpointTable &table, const EndpointState &endpoint, TimePoint now);
+bool isColdStartLimited(const EndpointTable &table, const EndpointState &endpoint, TimePoint now);
 
 // When the first of the service's endpoints will be warm; unset when one is warm now, or when there is none.
-std::optional<TimePoint> warmAgainAt(const EndpointTable &table, const std::string &service, TimePoint now);
+std::optional<TimePoint> nextWarmAt(const EndpointTable &table, const std::string &service, TimePoint now);
 
 void beginAttempt(EndpointState &endpoint);
 
-void endAttempt(EndpointState &endpoint, AttemptVerdict verdict, const ChoiceOptions &options, TimePoint now);
+void endAttempt(EndpointState &endpoint, AttemptFeedback verdict, const ChoiceOptions &options, TimePoint now);
 
 } // namespace Godwit
--- a/godwit/gateway/engine_load.cpp
+++ b/godwit/gateway/engine_load.cpp
@@ -8,18 +8,18 @@
 {
 
 // Prompts shorter than this tell little of the speed: most of their time is the way there and back.
-constexpr Tokens LeastTelling = 500;
+constexpr Tokens MinInformativeTokens = 500;
 // The estimate follows quicker engines at once and drifts towards slower ones: waits that this router doesn't know of
 // make most observations too long, so the quick ones are the true ones.
-constexpr double QuickerWeight = 0.3;
-constexpr double DriftPerRead = 1.003;
+constexpr double FasterWeight = 0.3;
+constexpr double DriftPerPrefill = 1.003;
 // Weight of the newest read in an engine's slowness, and the most that one read may say.
-constexpr double SlownessWeight = 0.1;
-constexpr double MostSlowness = 8;
+constexpr double SlowdownWeight = 0.1;
+constexpr double MaxSlowdown = 8;
 // Shorter expectations than this are lost in the noise of the network.
-constexpr Duration LeastExpected = std::chrono::milliseconds(10);
+constexpr Duration MinExpectedTime = std::chrono::milliseconds(10);
 // A first event may be so late without a sign that the engine is behind.
-constexpr Duration Punctual = std::chrono::milliseconds(30);
+constexpr Duration LatenessTolerance = std::chrono::milliseconds(30);
 
 double milliseconds(Duration duration)
 {
@@ -32,121 +32,121 @@
 }
 
 // What was heard of others' sends is taken to be read when its time is over.
-void forgetRead(EngineLoad &load, TimePoint now)
+void dropFinishedRemotePrefills(EngineLoad &load, TimePoint now)
 {
-    if (now < load.readsUntil) {
+    if (now < load.busyUntil) {
         return;
     }
-    load.reads.erase(std::remove_if(load.reads.begin(),
-                                    load.reads.end(),
-                                    [](const PendingRead &read) {
-                                        return read.id == 0;
-                                    }),
-                     load.reads.end());
+    load.pending.erase(std::remove_if(load.pending.begin(),
+                                      load.pending.end(),
+                                      [](const PendingPrefill &prefill) {
+                                          return prefill.id == 0;
+                                      }),
+                       load.pending.end());
 }
 
-void append(EngineLoad &load, const EngineSpeed &speed, ReadId id, Tokens tokens, TimePoint now)
+void append(EngineLoad &load, const PrefillSpeed &speed, PrefillId id, Tokens tokens, TimePoint now)
 {
-    forgetRead(load, now);
-    PendingRead read;
-    read.id = id;
-    read.tokens = tokens;
-    read.sentAt = now;
-    read.behindOthers = load.readsUntil > now || !load.reads.empty();
-    load.readsUntil = std::max(load.readsUntil, now) + readingTime(load, speed, tokens);
-    read.expectedAt = load.readsUntil;
-    load.reads.push_back(read);
+    dropFinishedRemotePrefills(load, now);
+    PendingPrefill prefill;
+    prefill.id = id;
+    prefill.tokens = tokens;
+    prefill.sentAt = now;
+    prefill.queuedBehindOthers = load.busyUntil > now || !load.pending.empty();
+    load.busyUntil = std::max(load.busyUntil, now) + prefillTime(load, speed, tokens);
+    prefill.expectedAt = load.busyUntil;
+    load.pending.push_back(prefill);
 }
 
-std::deque<PendingRead>::iterator find(EngineLoad &load, ReadId id)
+std::deque<PendingPrefill>::iterator find(EngineLoad &load, PrefillId id)
 {
-    return std::find_if(load.reads.begin(), load.reads.end(), [id](const PendingRead &read) {
-        return read.id == id;
+    return std::find_if(load.pending.begin(), load.pending.end(), [id](const PendingPrefill &prefill) {
+        return prefill.id == id;
     });
 }
 
-void learnSpeed(EngineSpeed &speed, const PendingRead &read, Duration took)
+void learnSpeed(PrefillSpeed &speed, const PendingPrefill &prefill, Duration took)
 {
-    if (read.behindOthers || read.tokens < LeastTelling) {
+    if (prefill.queuedBehindOthers || prefill.tokens < MinInformativeTokens) {
         return;
     }
-    const double observed = milliseconds(took) / static_cast<double>(read.tokens);
+    const double observed = milliseconds(took) / static_cast<double>(prefill.tokens);
     double &known = speed.millisecondsPerToken;
     if (known <= 0) {
         known = observed;
     } else if (observed < known) {
-        known += QuickerWeight * (observed - known);
+        known += FasterWeight * (observed - known);
     } else {
-        known = std::min(observed, known * DriftPerRead);
+        known = std::min(observed, known * DriftPerPrefill);
     }
 }
 
-void learnSlowness(EngineLoad &load, const PendingRead &read, Duration took)
+void learnSlowdown(EngineLoad &load, const PendingPrefill &prefill, Duration took)
 {
-    const Duration expected = read.expectedAt - read.sentAt;
-    if (expected < LeastExpected) {
+    const Duration expected = prefill.expectedAt - prefill.sentAt;
+    if (expected < MinExpectedTime) {
         return;
     }
     // What was expected reckoned with the slowness known so far.
-    const double observed = load.slowness * milliseconds(took) / milliseconds(expected);
-    load.slowness += SlownessWeight * (std::min(observed, MostSlowness) - load.slowness);
-    load.slowness = std::max(load.slowness, 1.0);
+    const double observed = load.slowdown * milliseconds(took) / milliseconds(expected);
+    load.slowdown += SlowdownWeight * (std::min(observed, MaxSlowdown) - load.slowdown);
+    load.slowdown = std::max(load.slowdown, 1.0);
 }
 
 } // namespace
 
-Duration waitOf(const EngineLoad &load, TimePoint now)
+Duration queueDelay(const EngineLoad &load, TimePoint now)
 {
-    Duration wait = std::max<Duration>(load.readsUntil - now, Duration::zero());
-    for (const PendingRead &read : load.reads) {
-        if (read.id != 0) {
+    Duration wait = std::max<Duration>(load.busyUntil - now, Duration::zero());
+    for (const PendingPrefill &prefill : load.pending) {
+        if (prefill.id != 0) {
             // An event that is overdue says that the engine is behind, at least by so much.
-            return wait + std::max<Duration>(now - read.expectedAt - Punctual, Duration::zero());
+            return wait + std::max<Duration>(now - prefill.expectedAt - LatenessTolerance, Duration::zero());
         }
     }
     return wait;
 }
 
-Duration readingTime(const EngineLoad &load, const EngineSpeed &speed, Tokens tokens)
+Duration prefillTime(const EngineLoad &load, const PrefillSpeed &speed, Tokens tokens)
 {
-    return fromMilliseconds(static_cast<double>(tokens) * speed.millisecondsPerToken * load.slowness);
+    return fromMilliseconds(static_cast<double>(tokens) * speed.millisecondsPerToken * load.slowdown);
 }
 
-void beginRead(EngineLoad &load, const EngineSpeed &speed, ReadId id, Tokens tokens, TimePoint now)
+void beginPrefill(EngineLoad &load, const PrefillSpeed &speed, PrefillId id, Tokens tokens, TimePoint now)
 {
     append(load, speed, id, tokens, now);
 }
 
-void noteReadElsewhere(EngineLoad &load, const EngineSpeed &speed, Tokens tokens, TimePoint now)
+void recordRemotePrefill(EngineLoad &load, const PrefillSpeed &speed, Tokens tokens, TimePoint now)
 {
     append(load, speed, 0, tokens, now);
 }
 
-void endRead(EngineLoad &load, EngineSpeed &speed, ReadId id, TimePoint now)
+void finishPrefill(EngineLoad &load, PrefillSpeed &speed, PrefillId id, TimePoint now)
 {
     const auto found = find(load, id);
-    if (found == load.reads.end()) {
+    if (found == load.pending.end()) {
         return;
     }
-    const PendingRead read = *found;
-    const Duration took = now - read.sentAt;
-    learnSpeed(speed, read, took);
-    learnSlowness(load, read, took);
-    load.reads.erase(load.reads.begin(), std::next(found));
-    load.readsUntil = now;
-    for (const PendingRead &later : load.reads) {
-        load.readsUntil += readingTime(load, speed, later.tokens);
+    const PendingPrefill prefill = *found;
+    const Duration took = now - prefill.sentAt;
+    learnSpeed(speed, prefill, took);
+    learnSlowdown(load, prefill, took);
+    load.pending.erase(load.pending.begin(), std::next(found));
+    load.busyUntil = now;
+    for (const PendingPrefill &later : load.pending) {
+        load.busyUntil += prefillTime(load, speed, later.tokens);
     }
 }
 
-void dropRead(EngineLoad &load, const EngineSpeed &speed, ReadId id, TimePoint now)
+void cancelPrefill(EngineLoad &load, const PrefillSpeed &speed, PrefillId id, TimePoint now)
 {
     const auto found = find(load, id);
-    if (found == load.reads.end()) {
+    if (found == load.pending.end()) {
         return;
     }
-    load.readsUntil = std::max(now, load.readsUntil - readingTime(load, speed, found->tokens));
-    load.reads.erase(found);
+    load.busyUntil = std::max(now, load.busyUntil - prefillTime(load, speed, found->tokens));
+    load.pending.erase(found);
 }
 
 } // namespace Godwit
--- a/godwit/gateway/entry_hosts.cpp
+++ b/godwit/gateway/entry_hosts.cpp
@@ -1,6 +1,6 @@
 #include "godwit/gateway/entry_hosts.h"
 
-#include "godwit/gateway/byte_allowance.h"
+#include "godwit/gateway/byte_rate_limiter.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
     return std::min(cores / options.coreSecondsPerRequest, bytesPerSecond(linkMbps) / options.linkBytesPerRequest);
 }
 
-double leastListedCapacity(std::vector<EntryHost> hosts, const EntryHostOptions &options)
+double minAdvertisedCapacity(std::vector<EntryHost> hosts, const EntryHostOptions &options)
 {
     std::sort(hosts.begin(), hosts.end(), [](const EntryHost &a, const EntryHost &b) {
         return a.capacity > b.capacity;
@@ -22,22 +22,23 @@
         load += host.load;
     }
     for (std::size_t i = 0; i < hosts.size(); ++i) {
-        const bool kindEnds = i + 1 == hosts.size() || hosts[i + 1].capacity < options.sameKindFrom * hosts[i].capacity;
+        const bool classEnds =
+            i + 1 == hosts.size() || hosts[i + 1].capacity < options.sameClassRatio * hosts[i].capacity;
         const double each = load / static_cast<double>(i + 1);
-        if (kindEnds && each <= options.plannedLoad * hosts[i].capacity) {
+        if (classEnds && each <= options.targetUtilization * hosts[i].capacity) {
             return hosts[i].capacity;
         }
     }
     return 0;
 }
 
-std::vector<std::string> addressesIn(const std::vector<EntryAddress> &hosts, const AllowedRegions &regions)
+std::vector<std::string> addressesForRegions(const std::vector<EntryAddress> &hosts, const AllowedRegions &regions)
 {
     std::vector<std::string> addresses;
     for (const AllowedRegions &allowed : {regions, AllowedRegions()}) {
-        for (const bool listedOnly : {true, false}) {
+        for (const bool advertisedOnly : {true, false}) {
             for (const EntryAddress &host : hosts) {
-                if (isAllowed(allowed, host.region) && (host.listed || !listedOnly)) {
+                if (isAllowed(allowed, host.region) && (host.advertised || !advertisedOnly)) {
                     addresses.push_back(host.address);
                 }
             }
--- a/godwit/gateway/entry_hosts.h
+++ b/godwit/gateway/entry_hosts.h
@@ -8,7 +8,7 @@
 // hosts are listed as long as they can carry everything; else all are.
 //
 // Pure. Example:
-//   const double least = leastListedCapacity(hosts, options);
+//   const double least = minAdvertisedCapacity(hosts, options);
 //   if (host.capacity >= least) { ... list it ... }
 
 #include "godwit/gateway/allowed_regions.h"
@@ -32,27 +32,27 @@
     double coreSecondsPerRequest = 0.001;
     double linkBytesPerRequest = 20'000;
     // Hosts are of one kind when the smaller has at least this part of the larger's capacity.
-    double sameKindFrom = 0.5;
+    double sameClassRatio = 0.5;
     // Hosts are planned to be loaded up to this part of their capacity, so that a burst of 1.5 times and the loss of
     // some of them still fit.
-    double plannedLoad = 0.5;
+    double targetUtilization = 0.5;
 };
 
 // Requests a second that a host with these limits can take.
 double requestCapacity(double cores, double linkMbps, const EntryHostOptions &options);
 
 // The least capacity that a listed host has. All hosts of the largest kind are listed.
-double leastListedCapacity(std::vector<EntryHost> hosts, const EntryHostOptions &options);
+double minAdvertisedCapacity(std::vector<EntryHost> hosts, const EntryHostOptions &options);
 
 // A router that takes requests.
 struct EntryAddress
 {
     std::string address;
     RegionId region;
-    bool listed = false; // Callers are told of it as long as one of these is left.
+    bool advertised = false; // Callers are told of it as long as one of these is left.
 };
 
 // Where a caller should connect: routers in `regions` before all others, and of those the listed ones.
-std::vector<std::string> addressesIn(const std::vector<EntryAddress> &hosts, const AllowedRegions &regions);
+std::vector<std::string> addressesForRegions(const std::vector<EntryAddress> &hosts, const AllowedRegions &regions);
 
 } // namespace Godwit
--- a/godwit/gateway/entry_hosts_test.cpp
+++ b/godwit/gateway/entry_hosts_test.cpp
@@ -24,18 +24,18 @@
     // Callers of one host wait for seconds and give up: its link takes 10 Mbit/s, and it gets as many of them as a host
     // with 200.
     const EntryHostOptions options;
-    CHECK(leastListedCapacity(hosts(6, 54, 860), options) == 500);
-    CHECK(leastListedCapacity(hosts(6, 54, 1400), options) == 500);
+    CHECK(minAdvertisedCapacity(hosts(6, 54, 860), options) == 500);
+    CHECK(minAdvertisedCapacity(hosts(6, 54, 1400), options) == 500);
 }
 
 TEST_CASE("all hosts are listed when the large ones are too few, and when all are alike")
 {
     const EntryHostOptions options;
-    CHECK(leastListedCapacity(hosts(6, 54, 1700), options) == 60);
-    CHECK(leastListedCapacity(hosts(1, 54, 860), options) == 60);
-    CHECK(leastListedCapacity(hosts(0, 8, 200), options) == 60);
-    CHECK(leastListedCapacity(hosts(0, 8, 5000), options) == 0);
-    CHECK(leastListedCapacity({}, options) == 0);
+    CHECK(minAdvertisedCapacity(hosts(6, 54, 1700), options) == 60);
+    CHECK(minAdvertisedCapacity(hosts(1, 54, 860), options) == 60);
+    CHECK(minAdvertisedCapacity(hosts(0, 8, 200), options) == 60);
+    CHECK(minAdvertisedCapacity(hosts(0, 8, 5000), options) == 0);
+    CHECK(minAdvertisedCapacity({}, options) == 0);
 }
 
 TEST_CASE("a host can take what the scarcer of processor and link allows")
@@ -53,10 +53,10 @@
     const std::vector<EntryAddress> hosts = {
         {"east-large", east, true}, {"east-small", east, false}, {"west-small", west, false}};
     using Addresses = std::vector<std::string>;
-    CHECK(addressesIn(hosts, {}) == Addresses{"east-large"});
-    CHECK(addressesIn(hosts, std::set<RegionId>{east}) == Addresses{"east-large"});
-    CHECK(addressesIn(hosts, std::set<RegionId>{west}) == Addresses{"west-small"});
-    CHECK(addressesIn(hosts, std::set<RegionId>{east, west}) == Addresses{"east-large"});
-    CHECK(addressesIn(hosts, std::set<RegionId>{RegionId{"north"}}) == Addresses{"east-large"});
-    CHECK(addressesIn({}, {}).empty());
+    CHECK(addressesForRegions(hosts, {}) == Addresses{"east-large"});
+    CHECK(addressesForRegions(hosts, std::set<RegionId>{east}) == Addresses{"east-large"});
+    CHECK(addressesForRegions(hosts, std::set<RegionId>{west}) == Addresses{"west-small"});
+    CHECK(addressesForRegions(hosts, std::set<RegionId>{east, west}) == Addresses{"east-large"});
+    CHECK(addressesForRegions(hosts, std::set<RegionId>{RegionId{"north"}}) == Addresses{"east-large"});
+    CHECK(addressesForRegions({}, {}).empty());
 }
--- a/godwit/gateway/gateway_test.cpp
+++ b/godwit/gateway/gateway_test.cpp
@@ -1,9 +1,9 @@
 #include "godwit/gateway/endpoint_table.h"
-#include "godwit/gateway/reading_turns.h"
-#include "godwit/gateway/repeat_allowance.h"
+#include "godwit/gateway/read_schedule.h"
+#include "godwit/gateway/retry_budget.h"
 #include "godwit/gateway/route_table.h"
 
-#include "godwit/gateway/byte_allowance.h"
+#include "godwit/gateway/byte_rate_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -74,27 +74,27 @@
 {
     // A caller gets a key refused that the operators added 3.5 s ago: all watches were deaf at the time, and the turns
     // of eight routers that read by lot had all fallen on the moment just before the change.
-    const ReadingOptions options;
+    const ReadScheduleOptions options;
     constexpr int routers = 8;
-    std::mt19937 lots(7);
+    std::mt19937 random(7);
     std::uniform_real_distribution<double> draw(0, 1);
     std::array<TimePoint, routers> due{};
     for (TimePoint &at : due) {
-        at = nextReading(options, Start, routers, draw(lots));
+        at = nextReadTime(options, Start, routers, draw(random));
     }
     TimePoint before = Start;
     for (int turn = 0; turn < 5000; ++turn) {
         const TimePoint at = *std::min_element(due.begin(), due.end());
-        CHECK(at - before <= longestGap(options, routers));
+        CHECK(at - before <= maxReadGap(options, routers));
         before = at;
         for (TimePoint &own : due) {
-            const bool hears = own == at || draw(lots) < 0.7;
-            own = hears ? nextReading(options, at, routers, draw(lots)) : own;
+            const bool hears = own == at || draw(random) < 0.7;
+            own = hears ? nextReadTime(options, at, routers, draw(random)) : own;
         }
     }
-    CHECK(longestGap(options, routers) < std::chrono::milliseconds(1200));
-    CHECK(longestGap(options, 400) < std::chrono::milliseconds(1500));
-    CHECK(longestGap(options, 1) == options.every);
+    CHECK(maxReadGap(options, routers) < std::chrono::milliseconds(1200));
+    CHECK(maxReadGap(options, 400) < std::chrono::milliseconds(1500));
+    CHECK(maxReadGap(options, 1) == options.interval);
 }
 
 TEST_CASE("services are picked by weight, equally for an equal seed")
@@ -115,7 +115,7 @@
     replaceEndpoints(table, threeEndpoints());
     beginAttempt(table.endpoints.at(EndpointId{"a"}));
     auto listed = threeEndpoints();
-    listed[1].leaving = true;
+    listed[1].draining = true;
     listed.erase(listed.begin());
     replaceEndpoints(table, listed);
     for (std::uint64_t i = 0; i < 20; ++i) {
@@ -124,7 +124,7 @@
         CHECK(chosen->listed.id == EndpointId{"c"});
     }
     REQUIRE(table.endpoints.count(EndpointId{"a"}) == 1);
-    endAttempt(table.endpoints.at(EndpointId{"a"}), AttemptVerdict::Good, {}, Start);
+    endAttempt(table.endpoints.at(EndpointId{"a"}), AttemptFeedback::Good, {}, Start);
     replaceEndpoints(table, listed);
     CHECK(table.endpoints.count(EndpointId{"a"}) == 0);
 }
@@ -140,23 +140,23 @@
     EndpointState &before = table.endpoints.at(EndpointId{"a"});
     beginAttempt(before);
     beginAttempt(before);
-    endAttempt(before, AttemptVerdict::Unreachable, {}, Start);
+    endAttempt(before, AttemptFeedback::Unreachable, {}, Start);
     listed[0].startedAt = 2000;
     CHECK(replaceEndpoints(table, listed) == std::vector<EndpointId>{EndpointId{"a"}});
     CHECK(replaceEndpoints(table, listed).empty());
     const EndpointState &after = table.endpoints.at(EndpointId{"a"});
     CHECK(after.inFlight == 0);
-    CHECK(after.failuresInRow == 0);
-    CHECK(after.avoidUntil <= Start);
-    CHECK(findStart(table, EndpointId{"a"}, 1000) == nullptr);
-    CHECK(findStart(table, EndpointId{"a"}, 2000) == &after);
+    CHECK(after.consecutiveFailures == 0);
+    CHECK(after.backoffUntil <= Start);
+    CHECK(findIncarnation(table, EndpointId{"a"}, 1000) == nullptr);
+    CHECK(findIncarnation(table, EndpointId{"a"}, 2000) == &after);
 }
 
 TEST_CASE("shared prompts meet at one endpoint until it has too much to read")
 {
     EndpointTable table;
     replaceEndpoints(table, threeEndpoints());
-    EngineSpeed &speed = table.speeds["s"];
+    PrefillSpeed &speed = table.prefillSpeeds["s"];
     speed.millisecondsPerToken = 0.02;
     ChoiceQuery query = queryFor("prompt");
     query.promptTokens = 1'500;
@@ -166,16 +166,16 @@
     const EndpointId favourite = chooseEndpoint(table, query, options, 1, Start).endpoint->listed.id;
     CHECK(chooseEndpoint(table, query, options, 77, Start).endpoint->listed.id == favourite);
     EndpointState &usual = table.endpoints.at(favourite);
-    beginRead(usual.load, speed, 1, 2'000, Start);
+    beginPrefill(usual.load, speed, 1, 2'000, Start);
     CHECK(chooseEndpoint(table, query, options, 77, Start).endpoint == &usual);
-    CHECK(chooseEndpoint(table, query, options, 77, Start).unread == 1'000);
-    beginRead(usual.load, speed, 2, 50'000, Start);
+    CHECK(chooseEndpoint(table, query, options, 77, Start).uncachedTokens == 1'000);
+    beginPrefill(usual.load, speed, 2, 50'000, Start);
     const Choice second = chooseEndpoint(table, query, options, 77, Start);
     CHECK(second.endpoint != &usual);
-    CHECK(second.unread == 1'500);
+    CHECK(second.uncachedTokens == 1'500);
     // It is kept there now as well.
     CHECK(chooseEndpoint(table, query, options, 5, Start).endpoint == second.endpoint);
-    CHECK(chooseEndpoint(table, query, options, 5, Start).unread == 1'000);
+    CHECK(chooseEndpoint(table, query, options, 5, Start).uncachedTokens == 1'000);
 }
 
 TEST_CASE("an endpoint that can't be reached is left alone for a while, and used when nobody else is left")
@@ -185,7 +185,7 @@
     const ChoiceOptions options;
     EndpointState &bad = table.endpoints.at(EndpointId{"a"});
     beginAttempt(bad);
-    endAttempt(bad, AttemptVerdict::Unreachable, options, Start);
+    endAttempt(bad, AttemptFeedback::Unreachable, options, Start);
     for (std::uint64_t i = 0; i < 20; ++i) {
         CHECK(chooseEndpoint(table, queryFor(), options, i, Start).endpoint->listed.id != EndpointId{"a"});
     }
@@ -198,21 +198,21 @@
 
 TEST_CASE("repeats are a share of the requests in the window, and no more")
 {
-    RepeatRules rules;
+    RetryBudgetOptions rules;
     rules.slack = 8;
-    rules.usedOfRatio = 1;
-    rules.usedOfSlack = 1;
-    RepeatAllowance allowance;
+    rules.usedRatioFraction = 1;
+    rules.usedSlackFraction = 1;
+    RetryBudget budget;
     for (int i = 0; i < 100; ++i) {
-        countRequest(allowance, rules, Start);
+        countRequest(budget, rules, Start);
     }
     int taken = 0;
-    while (taken < 1000 && takeRepeat(allowance, rules, 1.0 / 8, Start + std::chrono::seconds(1)).granted) {
+    while (taken < 1000 && tryTakeRetry(budget, rules, 1.0 / 8, Start + std::chrono::seconds(1)).granted) {
         ++taken;
     }
     CHECK(taken == 21);
-    CHECK_FALSE(takeRepeat(allowance, rules, 1.0 / 8, Start + std::chrono::seconds(5)).granted);
-    CHECK(takeRepeat(allowance, rules, 1.0 / 8, Start + std::chrono::seconds(13)).granted);
+    CHECK_FALSE(tryTakeRetry(budget, rules, 1.0 / 8, Start + std::chrono::seconds(5)).granted);
+    CHECK(tryTakeRetry(budget, rules, 1.0 / 8, Start + std::chrono::seconds(13)).granted);
 }
 
 TEST_CASE("a bound request reaches endpoints of its regions only")
@@ -227,9 +227,9 @@
     restrictTo(query.regions, {});
     CHECK_FALSE(query.regions);
     restrictTo(query.regions, {RegionId{"west"}, RegionId{"north"}});
-    for (std::uint64_t lot = 0; lot < 6; ++lot) {
-        REQUIRE(chooseEndpoint(table, query, {}, lot, Start).endpoint != nullptr);
-        CHECK(chooseEndpoint(table, query, {}, lot, Start).endpoint->listed.id == EndpointId{"b"});
+    for (std::uint64_t random = 0; random < 6; ++random) {
+        REQUIRE(chooseEndpoint(table, query, {}, random, Start).endpoint != nullptr);
+        CHECK(chooseEndpoint(table, query, {}, random, Start).endpoint->listed.id == EndpointId{"b"});
     }
     restrictTo(query.regions, {RegionId{"east"}});
     CHECK(chooseEndpoint(table, query, {}, 1, Start).endpoint == nullptr);
@@ -252,11 +252,11 @@
 TEST_CASE("bytes beyond the burst wait until the rate has paid for them")
 {
     // Guards against a link that one kind of message fills.
-    const ByteRate rate{100'000, 1000};
-    ByteAllowance allowance;
+    const ByteRateLimit rate{100'000, 1000};
+    ByteRateLimiter limiter;
     const TimePoint now{std::chrono::seconds(100)};
-    CHECK(takeBytes(allowance, rate, 50'000, now));
-    CHECK_FALSE(takeBytes(allowance, rate, 1, now + std::chrono::milliseconds(480)));
-    CHECK(takeBytes(allowance, rate, 50'000, now + std::chrono::milliseconds(495)));
-    CHECK_FALSE(takeBytes(allowance, rate, 1, now + std::chrono::milliseconds(980)));
+    CHECK(tryTakeBytes(limiter, rate, 50'000, now));
+    CHECK_FALSE(tryTakeBytes(limiter, rate, 1, now + std::chrono::milliseconds(480)));
+    CHECK(tryTakeBytes(limiter, rate, 50'000, now + std::chrono::milliseconds(495)));
+    CHECK_FALSE(tryTakeBytes(limiter, rate, 1, now + std::chrono::milliseconds(980)));
 }
--- a/godwit/gateway/limit_shares.cpp
+++ b/godwit/gateway/limit_shares.cpp
@@ -5,7 +5,7 @@
 namespace Godwit
 {
 
-void keepShareLease(LimitShares &shares, std::uint64_t lease, Duration until)
+void renewShareLease(LimitShares &shares, std::uint64_t lease, Duration until)
 {
     if (lease != shares.lease) {
         shares.held.clear();
@@ -14,24 +14,24 @@
     shares.leaseUntil = until;
 }
 
-void loseShareLease(LimitShares &shares)
+void dropShareLease(LimitShares &shares)
 {
     shares = {};
 }
 
-int fairShares(std::size_t routers, int least)
+int fairShareCount(std::size_t routers, int least)
 {
     return std::max(least, LimitShareCount / static_cast<int>(std::max<std::size_t>(1, routers)));
 }
 
-bool wantsShares(const LimitShares &shares, int fair)
+bool needsShares(const LimitShares &shares, int fair)
 {
     return static_cast<int>(shares.held.size()) * 4 < fair * 3;
 }
 
 std::vector<ShareClaim> planClaims(const LimitShares &shares,
                                    const LimitShareOptions &options,
-                                   const std::map<int, StandingShare> &standing,
+                                   const std::map<int, StoredShare> &stored,
                                    const std::string &self,
                                    int fair,
                                    int first)
@@ -40,26 +40,23 @@
     std::vector<ShareClaim> open;
     for (int i = 0; i < LimitShareCount; ++i) {
         const int number = (first + i) % LimitShareCount;
-        const auto found = standing.find(number);
+        const auto found = stored.find(number);
         if (shares.held.count(number) > 0) {
             continue;
         }
-        if (found == standing.end()) {
+        if (found == stored.end()) {
             open.push_back({number, 0});
         } else if (found->second.holder == self) {
             own.push_back({number, found->second.revision});
         }
     }
     own.insert(own.end(), open.begin(), open.end());
-    const int most = std::min(options.mostClaims, fair - static_cast<int>(shares.held.size()));
-    own.resize(std::min(own.size(), static_cast<std::size_t>(std::max(0, most))));
+    const int maxNew = std::min(options.maxClaims, fair - static_cast<int>(shares.held.size()));
+    own.resize(std::min(own.size(), static_cast<std::size_t>(std::max(0, maxNew))));
     return own;
 }
 
-void holdShares(LimitShares &shares,
-                const std::vector<ShareClaim> &claims,
-                std::uint64_t revision,
-                TimePoint usableFrom)
+void addShares(LimitShares &shares, const std::vector<ShareClaim> &claims, std::uint64_t revision, TimePoint usableFrom)
 {
     for (const ShareClaim &claim : claims) {
         shares.held[claim.number] = {revision, usableFrom};
@@ -72,7 +69,7 @@
     if (static_cast<int>(shares.held.size()) < 2 * fair) {
         return released;
     }
-    while (static_cast<int>(shares.held.size()) > fair && static_cast<int>(released.size()) < options.mostClaims) {
+    while (static_cast<int>(shares.held.size()) > fair && static_cast<int>(released.size()) < options.maxClaims) {
         const auto last = std::prev(shares.held.end());
         released.push_back({last->first, last->second.revision});
         shares.held.erase(last);
@@ -80,9 +77,9 @@
     return released;
 }
 
-ShareNumbers usableShares(const LimitShares &shares, TimePoint now, Duration uptime)
+ShareSet usableShares(const LimitShares &shares, TimePoint now, Duration uptime)
 {
-    ShareNumbers usable;
+    ShareSet usable;
     if (shares.lease == 0 || uptime >= shares.leaseUntil) {
         return usable;
     }
@@ -92,7 +89,7 @@
     return usable;
 }
 
-double partOf(const ShareNumbers &shares)
+double fractionOf(const ShareSet &shares)
 {
     return static_cast<double>(shares.count()) / LimitShareCount;
 }
--- a/godwit/gateway/limit_shares.h
+++ b/godwit/gateway/limit_shares.h
@@ -11,8 +11,8 @@
 // Pure: time is passed in.
 //
 // Example:
-//   const auto claims = planClaims(shares, options, standing, self, fairShares(routers, least), first);
-//   if (written) { holdShares(shares, claims, revision, now + handOver); }
+//   const auto claims = planClaims(shares, options, standing, self, fairShareCount(routers, least), first);
+//   if (written) { addShares(shares, claims, revision, now + handOver); }
 //   const double part = partOf(usableShares(shares, now, uptime));
 
 #include "godwit/base/time.h"
@@ -27,20 +27,20 @@
 {
 
 constexpr int LimitShareCount = 64;
-using ShareNumbers = std::bitset<LimitShareCount>;
+using ShareSet = std::bitset<LimitShareCount>;
 
 struct LimitShareOptions
 {
     // Of one transaction, which has a condition and a change for each and may have 32 of them.
-    int mostClaims = 16;
+    int maxClaims = 16;
     // A repeat reaches its endpoint within this time after it was drawn: connecting takes at most 0.4 s, and a process
     // may be held up meanwhile.
-    Duration lateness = std::chrono::seconds(2);
+    Duration maxSendDelay = std::chrono::seconds(2);
 };
 
 // The routers that callers are told of, this one included; by their addresses. They get nearly all requests, so that
 // they alone hold shares.
-struct SenderGroup
+struct AdvertisedRouters
 {
     std::string self;
     std::vector<std::string> routers;
@@ -60,7 +60,7 @@
 };
 
 // A share as the store has it.
-struct StandingShare
+struct StoredShare
 {
     std::string holder; // The address that callers reach it by.
     std::uint64_t revision = 0;
@@ -73,37 +73,37 @@
 };
 
 // The lease stands until `until` at least. Shares under a former lease are gone.
-void keepShareLease(LimitShares &shares, std::uint64_t lease, Duration until);
-void loseShareLease(LimitShares &shares);
+void renewShareLease(LimitShares &shares, std::uint64_t lease, Duration until);
+void dropShareLease(LimitShares &shares);
 
 // How many shares each of so many routers may claim. `least`: with fewer a router could do nothing; where they don't
 // go round, some routers hold none.
-int fairShares(std::size_t routers, int least);
+int fairShareCount(std::size_t routers, int least);
 
 // Whether it holds so few that a call of the store is worth it. Small differences stay, so that the death of one
 // router moves no shares of the others.
-bool wantsShares(const LimitShares &shares, int fair);
+bool needsShares(const LimitShares &shares, int fair);
 
 // Shares to claim: those that an earlier process of this router left, then free ones from number `first` on.
 std::vector<ShareClaim> planClaims(const LimitShares &shares,
                                    const LimitShareOptions &options,
-                                   const std::map<int, StandingShare> &standing,
+                                   const std::map<int, StoredShare> &stored,
                                    const std::string &self,
                                    int fair,
                                    int first);
 
-void holdShares(LimitShares &shares,
-                const std::vector<ShareClaim> &claims,
-                std::uint64_t revision,
-                TimePoint usableFrom);
+void addShares(LimitShares &shares,
+               const std::vector<ShareClaim> &claims,
+               std::uint64_t revision,
+               TimePoint usableFrom);
 
 // Takes out of use what is far more than the router's own part, and returns it for removal from the store.
 std::vector<ShareClaim> releaseSurplus(LimitShares &shares, const LimitShareOptions &options, int fair);
 
 // The shares that may be used now. `uptime`: of the host.
-ShareNumbers usableShares(const LimitShares &shares, TimePoint now, Duration uptime);
+ShareSet usableShares(const LimitShares &shares, TimePoint now, Duration uptime);
 
 // The part of a limit, from 0 to 1, that these shares are.
-double partOf(const ShareNumbers &shares);
+double fractionOf(const ShareSet &shares);
 
 } // namespace Godwit
--- a/godwit/gateway/placement_bench.cpp
+++ b/godwit/gateway/placement_bench.cpp
@@ -20,8 +20,8 @@
     const char *name;
 };
 
-constexpr Named Placements[] = {{Placement::ByReading, "by reading time"},
-                                {Placement::SharedPartBound, "shared part, bound by requests"},
+constexpr Named Placements[] = {{Placement::ByPrefillTime, "by reading time"},
+                                {Placement::BoundedAffinity, "shared part, bound by requests"},
                                 {Placement::LeastInFlight, "least in flight"},
                                 {Placement::TwoChoices, "two choices"},
                                 {Placement::RoundRobin, "round robin"}};
@@ -30,12 +30,12 @@
 {
     std::printf("%s\n", title);
     for (const Named &entry : Placements) {
-        const PlacementResult result = playPlacement(load, entry.placement);
+        const PlacementResult result = simulatePlacement(load, entry.placement);
         std::printf("  %-32s late short %5.2f%%  late long %5.2f%%  read again %8lld tokens\n",
                     entry.name,
                     100.0 * result.shortLate / result.shorts,
                     100.0 * result.longLate / (result.requests - result.shorts),
-                    static_cast<long long>(result.reread));
+                    static_cast<long long>(result.recomputedTokens));
     }
 }
 
@@ -81,7 +81,7 @@
     load.shortPerSecond *= 2.5;
     compare("the same, 2.5 times the load", load);
     load = PlacementLoad{};
-    load.slowEngines = 0.25;
+    load.slowFraction = 0.25;
     compare("the same, a quarter of the engines four times as slow", load);
     for (const int engines : {60, 600, 3000}) {
         std::printf("%4d engines: %6.1f us a choice, %6.1f us with a third of them cold\n",
--- a/godwit/gateway/prefix_copy.cpp
+++ b/godwit/gateway/prefix_copy.cpp
@@ -24,7 +24,7 @@
 }
 
 // Takes `change` into the digest while `copy` still holds what it replaces.
-void noteInDigest(PrefixCopy &copy, const StoreItem &change)
+void updateDigest(PrefixCopy &copy, const StoreItem &change)
 {
     const auto before = copy.items.find(change.key);
     copy.digest -= before == copy.items.end() ? 0 : weightOf(before->second);
@@ -34,7 +34,7 @@
 // Of the latest changes; of a copy that is older than all of these it is enough to know that it is old.
 constexpr std::size_t MaxChangeTimes = 256;
 
-void noteNewest(PrefixCopy &copy, const std::vector<StoreItem> &changes)
+void updateNewestChange(PrefixCopy &copy, const std::vector<StoreItem> &changes)
 {
     for (const StoreItem &change : changes) {
         copy.newestChange = std::max(copy.newestChange, change.revision);
@@ -63,7 +63,7 @@
 
 } // namespace
 
-std::vector<StoreItem> adoptSnapshot(PrefixCopy &copy, const std::vector<StoreItem> &items, std::uint64_t at)
+std::vector<StoreItem> applySnapshot(PrefixCopy &copy, const std::vector<StoreItem> &items, std::uint64_t at)
 {
     if (copy.complete && at < copy.completeTo) {
         return {};
@@ -81,11 +81,11 @@
     }
     auto changes = difference(copy.items, entries, at);
     for (const StoreItem &change : changes) {
-        noteInDigest(copy, change);
+        updateDigest(copy, change);
     }
     copy.items = std::move(entries);
     copy.complete = true;
-    noteNewest(copy, changes);
+    updateNewestChange(copy, changes);
     markComplete(copy, at);
     return changes;
 }
@@ -97,7 +97,7 @@
         if (change.revision <= copy.completeTo || change.revision <= knownRevision(copy, change.key)) {
             continue;
         }
-        noteInDigest(copy, change);
+        updateDigest(copy, change);
         if (change.removed) {
             copy.items.erase(change.key);
             copy.removed[change.key] = change.revision;
@@ -112,7 +112,7 @@
     for (auto &[key, change] : newestByKey) {
         newest.push_back(std::move(change));
     }
-    noteNewest(copy, newest);
+    updateNewestChange(copy, newest);
     return newest;
 }
 
@@ -124,7 +124,7 @@
     }
 }
 
-bool hasNewer(const PrefixCopy &copy, std::uint64_t revision)
+bool hasNewerThan(const PrefixCopy &copy, std::uint64_t revision)
 {
     const bool changed = std::any_of(copy.items.begin(), copy.items.end(), [revision](const auto &entry) {
         return entry.second.revision > revision;
@@ -150,7 +150,7 @@
     }
 }
 
-Duration heldNewerFor(const ChangeTimes &times, std::uint64_t revision, TimePoint now)
+Duration timeAheadOf(const ChangeTimes &times, std::uint64_t revision, TimePoint now)
 {
     const auto newer = std::upper_bound(times.changes.begin(),
                                         times.changes.end(),
--- a/godwit/gateway/prefix_copy.h
+++ b/godwit/gateway/prefix_copy.h
@@ -8,7 +8,7 @@
 //
 // Pure. Example:
 //   PrefixCopy copy;
-//   adoptSnapshot(copy, items, at);
+//   applySnapshot(copy, items, at);
 //   const auto delta = applyDelta(copy, changes);
 //   if (digestOf(copy) != digestElsewhere) { ... ask for a snapshot ... }
 
@@ -50,14 +50,14 @@
 void noteChange(ChangeTimes &times, std::uint64_t revision, TimePoint now);
 
 // For how long the copy has held a change after `revision`; zero when it holds none.
-Duration heldNewerFor(const ChangeTimes &times, std::uint64_t revision, TimePoint now);
+Duration timeAheadOf(const ChangeTimes &times, std::uint64_t revision, TimePoint now);
 
 // The revision up to which the copy knows of changes.
 std::uint64_t newestRevision(const PrefixCopy &copy);
 
 // Takes over a snapshot of revision `at`, except for entries of the copy that are newer, and returns what it changed.
 // A snapshot that is older than the copy changes nothing.
-std::vector<StoreItem> adoptSnapshot(PrefixCopy &copy, const std::vector<StoreItem> &items, std::uint64_t at);
+std::vector<StoreItem> applySnapshot(PrefixCopy &copy, const std::vector<StoreItem> &items, std::uint64_t at);
 
 // Applies what the copy does not have yet, and returns that: of several changes of one entry the newest.
 std::vector<StoreItem> applyDelta(PrefixCopy &copy, const std::vector<StoreItem> &changes);
@@ -67,7 +67,7 @@
 
 // Whether the copy holds what came after `revision`. One that does differs from a copy of that revision, and lacks
 // nothing for all that can be seen.
-bool hasNewer(const PrefixCopy &copy, std::uint64_t revision);
+bool hasNewerThan(const PrefixCopy &copy, std::uint64_t revision);
 
 // Equal for copies with the same keys at the same revisions.
 std::uint64_t digestOf(const PrefixCopy &copy);
--- a/godwit/gateway/prefix_copy_test.cpp
+++ b/godwit/gateway/prefix_copy_test.cpp
@@ -1,6 +1,6 @@
-#include "godwit/gateway/copy_agreement.h"
+#include "godwit/gateway/copy_freshness.h"
 #include "godwit/gateway/prefix_copy.h"
-#include "godwit/gateway/reading_turns.h"
+#include "godwit/gateway/read_schedule.h"
 
 #include <catch2/catch.hpp>
 
@@ -77,13 +77,13 @@
             applyDelta(copy, delta);
             if (random() % 20 == 0) {
                 const std::uint64_t at = random() % history.states.size();
-                adoptSnapshot(copy, history.snapshot(at), at);
+                applySnapshot(copy, history.snapshot(at), at);
             }
         }
-        adoptSnapshot(copy, history.snapshot(30), 30);
+        applySnapshot(copy, history.snapshot(30), 30);
         INFO("seed " << seed);
         PrefixCopy whole;
-        adoptSnapshot(whole, history.snapshot(60), 60);
+        applySnapshot(whole, history.snapshot(60), 60);
         CHECK(digestOf(copy) == digestOf(whole));
     }
 }
@@ -91,20 +91,20 @@
 TEST_CASE("a snapshot says what it changes, and an older one changes nothing")
 {
     PrefixCopy copy;
-    CHECK(adoptSnapshot(copy, {entry("a", 3), entry("b", 4)}, 5).size() == 2);
-    const auto changes = adoptSnapshot(copy, {entry("b", 7, "draining")}, 8);
+    CHECK(applySnapshot(copy, {entry("a", 3), entry("b", 4)}, 5).size() == 2);
+    const auto changes = applySnapshot(copy, {entry("b", 7, "draining")}, 8);
     REQUIRE(changes.size() == 2);
     CHECK(changes[0].key == "b");
     CHECK(changes[1].removed);
     CHECK(changes[1].revision == 8);
-    CHECK(adoptSnapshot(copy, {entry("a", 3), entry("b", 4)}, 6).empty());
+    CHECK(applySnapshot(copy, {entry("a", 3), entry("b", 4)}, 6).empty());
     CHECK(copy.items.count("a") == 0);
 }
 
 TEST_CASE("an entry that left stays away when an older delta comes late")
 {
     PrefixCopy copy;
-    adoptSnapshot(copy, {entry("a", 3)}, 5);
+    applySnapshot(copy, {entry("a", 3)}, 5);
     CHECK(applyDelta(copy, {removal("a", 9)}).size() == 1);
     CHECK(applyDelta(copy, {entry("a", 7, "draining")}).empty());
     CHECK(copy.items.empty());
@@ -144,44 +144,44 @@
         return start + std::chrono::milliseconds(milliseconds);
     };
     ChangeTimes times;
-    CHECK(heldNewerFor(times, 0, at(0)) == Duration::zero());
+    CHECK(timeAheadOf(times, 0, at(0)) == Duration::zero());
     noteChange(times, 5, at(0));
     noteChange(times, 9, at(300));
     noteChange(times, 7, at(400)); // Late, and of no account to a copy that knows 9.
-    CHECK(heldNewerFor(times, 9, at(1000)) == Duration::zero());
-    CHECK(heldNewerFor(times, 5, at(1000)) == std::chrono::milliseconds(700));
-    CHECK(heldNewerFor(times, 4, at(1000)) == std::chrono::seconds(1));
+    CHECK(timeAheadOf(times, 9, at(1000)) == Duration::zero());
+    CHECK(timeAheadOf(times, 5, at(1000)) == std::chrono::milliseconds(700));
+    CHECK(timeAheadOf(times, 4, at(1000)) == std::chrono::seconds(1));
     for (std::uint64_t revision = 10; revision < 2000; ++revision) {
         noteChange(times, revision, at(1000));
     }
     CHECK(times.changes.size() <= 256);
-    CHECK(heldNewerFor(times, 4, at(2500)) == std::chrono::milliseconds(1500));
+    CHECK(timeAheadOf(times, 4, at(2500)) == std::chrono::milliseconds(1500));
 }
 
 TEST_CASE("a copy is outdated when a peer has held newer ones for long, and not for want of answers")
 {
     const TimePoint start{std::chrono::seconds(100)};
-    const AgreementOptions options;
-    CopyAgreement agreement;
-    CHECK_FALSE(isOutdated(agreement, options, start));
-    noteAnswer(agreement, start, Duration::zero(), start);
+    const FreshnessOptions options;
+    CopyFreshness freshness;
+    CHECK_FALSE(isStale(freshness, options, start));
+    recordPeerState(freshness, start, Duration::zero(), start);
     // A router that has nothing to ask for is not outdated by that.
-    CHECK_FALSE(isOutdated(agreement, options, start + options.answersCountFor - std::chrono::milliseconds(1)));
+    CHECK_FALSE(isStale(freshness, options, start + options.responseValidity - std::chrono::milliseconds(1)));
     // An answer that comes late is as old as its question.
-    const TimePoint later = start + 2 * options.longestLag;
-    noteAnswer(agreement, start + std::chrono::milliseconds(10), Duration::zero(), later);
-    CHECK(isOutdated(agreement, options, later));
-    CHECK_FALSE(isOutdated(agreement, options, later + options.answersCountFor));
+    const TimePoint later = start + 2 * options.maxStaleness;
+    recordPeerState(freshness, start + std::chrono::milliseconds(10), Duration::zero(), later);
+    CHECK(isStale(freshness, options, later));
+    CHECK_FALSE(isStale(freshness, options, later + options.responseValidity));
     SECTION("what it has read itself is new")
     {
-        noteReading(agreement, later - std::chrono::milliseconds(5));
-        CHECK_FALSE(isOutdated(agreement, options, later));
+        recordFullRead(freshness, later - std::chrono::milliseconds(5));
+        CHECK_FALSE(isStale(freshness, options, later));
     }
     SECTION("one that holds newer changes is believed over one that does not")
     {
-        noteAnswer(agreement, later, Duration::zero(), later);
-        CHECK_FALSE(isOutdated(agreement, options, later));
-        noteAnswer(agreement, later, 3 * options.longestLag, later);
-        CHECK(isOutdated(agreement, options, later));
+        recordPeerState(freshness, later, Duration::zero(), later);
+        CHECK_FALSE(isStale(freshness, options, later));
+        recordPeerState(freshness, later, 3 * options.maxStaleness, later);
+        CHECK(isStale(freshness, options, later));
     }
 }
--- a/godwit/gateway/reading_turns.h
+++ b/godwit/gateway/read_schedule.h
@@ -6,10 +6,10 @@
 // are made, and then go on after them, and a message can be lost. So the readers read everything again in turns: one
 // reads and tells all others what it found, they compare it with their copies, and those that differ ask for a
 // snapshot. A router that hears of no reading reads by itself, so that no loss of messages and no chance makes the gap
-// between two readings longer than `longestGap`, and without readers not longer than that and `standby`.
+// between two readings longer than `maxReadGap`, and without readers not longer than that and `standby`.
 //
 // Pure. Example:
-//   timer.expires_at(nextReading(options, lastHeard, liveRouters, lot));
+//   timer.expires_at(nextReadTime(options, lastHeard, liveRouters, lot));
 
 #include "godwit/base/time.h"
 
@@ -21,30 +21,30 @@
 namespace Godwit
 {
 
-struct ReadingOptions
+struct ReadScheduleOptions
 {
     // More than one, so that the loss of one delays nothing.
     int readers = 2;
     // A change that the watches missed has to be in force within 2 s on small fleets: this and the rest of the gap,
     // the wait of those that heard, and two readings leave half a second of that.
-    Duration every = std::chrono::milliseconds(700);
+    Duration interval = std::chrono::milliseconds(700);
     // Routers whose turns fall within this time of each other read both: a reading takes some 5 ms and a message 1 ms.
-    Duration apart = std::chrono::milliseconds(25);
+    Duration spacing = std::chrono::milliseconds(25);
     // Large fleets, whose changes may take 3 s, have more routers than fit into this.
-    Duration longestSpread = std::chrono::milliseconds(600);
+    Duration maxSpread = std::chrono::milliseconds(600);
     // Routers that are no readers wait this much longer, so that they read only when the readers don't.
-    Duration standby = std::chrono::milliseconds(600);
+    Duration standbyDelay = std::chrono::milliseconds(600);
 };
 
-inline Duration spreadOf(const ReadingOptions &options, int routers)
+inline Duration readSpreadFor(const ReadScheduleOptions &options, int routers)
 {
-    return std::min(options.apart * std::max(0, routers - 1), options.longestSpread);
+    return std::min(options.spacing * std::max(0, routers - 1), options.maxSpread);
 }
 
 // The longest time from one reading that a router has heard of to the next one, its own at the latest.
-inline Duration longestGap(const ReadingOptions &options, int routers)
+inline Duration maxReadGap(const ReadScheduleOptions &options, int routers)
 {
-    return options.every + spreadOf(options, routers);
+    return options.interval + readSpreadFor(options, routers);
 }
 
 // Which of the readers a router of this weight is, from 0; unset when it is none. `weights` are those of the others.
@@ -57,12 +57,12 @@
 }
 
 // When this router reads unless it hears of another's reading before. `lot` is drawn anew each time, from 0 to 1.
-inline TimePoint nextReading(
-    const ReadingOptions &options, TimePoint lastHeard, int routers, double lot, bool onStandby = false)
+inline TimePoint nextReadTime(
+    const ReadScheduleOptions &options, TimePoint lastReadAt, int routers, double jitter, bool onStandby = false)
 {
-    const auto share = static_cast<double>(spreadOf(options, routers).count()) * std::clamp(lot, 0.0, 1.0);
-    const Duration extra = onStandby ? options.standby : Duration::zero();
-    return lastHeard + options.every + extra + Duration(static_cast<Duration::rep>(share));
+    const auto delay = static_cast<double>(readSpreadFor(options, routers).count()) * std::clamp(jitter, 0.0, 1.0);
+    const Duration extra = onStandby ? options.standbyDelay : Duration::zero();
+    return lastReadAt + options.interval + extra + Duration(static_cast<Duration::rep>(delay));
 }
 
 } // namespace Godwit
--- a/godwit/gateway/repeat_allowance.h
+++ b/godwit/gateway/retry_budget.h
@@ -8,7 +8,7 @@
 //
 // Example:
 //   countRequest(allowance, now);
-//   if (takeRepeat(allowance, rules, partOf(usableShares(shares, now, uptime)), now).granted) { sendAgain(); }
+//   if (tryTakeRetry(allowance, rules, partOf(usableShares(shares, now, uptime)), now).granted) { sendAgain(); }
 
 #include "godwit/base/time.h"
 
@@ -18,48 +18,48 @@
 namespace Godwit
 {
 
-struct RepeatRules
+struct RetryBudgetOptions
 {
     double ratio = 0.2;
     double slack = 0;
     Duration window = std::chrono::seconds(10);
     // Half: the repeats of one window may be of requests from it and from the window before, and a process that has
     // ended can have used up the earlier ones.
-    double usedOfRatio = 0.5;
+    double usedRatioFraction = 0.5;
     // Not all, since a repeat reaches its endpoint some time after it was drawn.
-    double usedOfSlack = 0.9;
+    double usedSlackFraction = 0.9;
 };
 
 // Counts in slices of the window; the newest slice is partly filled.
-struct RepeatAllowance
+struct RetryBudget
 {
     static constexpr std::size_t Slices = 16;
     struct Slice
     {
         std::int64_t number = -1;
         std::uint32_t requests = 0;
-        std::uint32_t repeats = 0;
+        std::uint32_t retries = 0;
     };
     std::array<Slice, Slices> slices;
 };
 
 // How many shares of the fixed number a router needs to repeat a request now and then.
-int leastShares(const RepeatRules &rules);
+int minShares(const RetryBudgetOptions &options);
 
-void countRequest(RepeatAllowance &allowance, const RepeatRules &rules, TimePoint now);
+void countRequest(RetryBudget &budget, const RetryBudgetOptions &options, TimePoint now);
 
 // Whether a repeat may be sent, and by which figures of the window.
-struct RepeatDraw
+struct RetryDecision
 {
     bool granted = false;
     double requests = 0;
-    double repeats = 0; // Before this one.
+    double retries = 0; // Before this one.
     double allowedByRequests = 0;
-    double allowedFixed = 0;
+    double allowedBySlack = 0;
 };
 
 // Takes one repeat, unless the router's part is used up.
-// `partOfFixed`: what this router holds of the fixed number, from 0 to 1.
-RepeatDraw takeRepeat(RepeatAllowance &allowance, const RepeatRules &rules, double partOfFixed, TimePoint now);
+// `slackFraction`: what this router holds of the fixed number, from 0 to 1.
+RetryDecision tryTakeRetry(RetryBudget &budget, const RetryBudgetOptions &options, double slackFraction, TimePoint now);
 
 } // namespace Godwit
--- a/godwit/gateway/repeat_allowance_test.cpp
+++ b/godwit/gateway/retry_budget_test.cpp
@@ -1,7 +1,7 @@
 // Repeats of a whole fleet, counted as its endpoints see them: routers with their shares, and a store with leases.
 
 #include "godwit/gateway/limit_shares.h"
-#include "godwit/gateway/repeat_allowance.h"
+#include "godwit/gateway/retry_budget.h"
 
 #include <catch2/catch.hpp>
 
@@ -29,7 +29,7 @@
 {
     struct Entry
     {
-        StandingShare share;
+        StoredShare share;
         std::uint64_t lease = 0;
     };
     std::map<int, Entry> entries;
@@ -40,7 +40,7 @@
 struct Router
 {
     std::string name;
-    RepeatAllowance allowance;
+    RetryBudget budget;
     LimitShares shares;
     std::size_t heard = 1; // Routers that it believes to be live, itself included.
     TimePoint cutUntil; // From the store.
@@ -50,7 +50,7 @@
 
 struct Fleet
 {
-    RepeatRules rules;
+    RetryBudgetOptions rules;
     LimitShareOptions options;
     Store store;
     std::vector<Router> routers;
@@ -86,42 +86,42 @@
 
 void keepLease(Fleet &fleet, Router &router, TimePoint now)
 {
-    const auto standing = fleet.store.leases.find(router.shares.lease);
+    const auto stored = fleet.store.leases.find(router.shares.lease);
     std::uint64_t lease = router.shares.lease;
-    if (standing == fleet.store.leases.end()) {
-        loseShareLease(router.shares);
+    if (stored == fleet.store.leases.end()) {
+        dropShareLease(router.shares);
         lease = ++fleet.store.last;
     }
     fleet.store.leases[lease] = now + LeaseTime;
-    keepShareLease(router.shares, lease, uptimeAt(now) + LeaseTime);
+    renewShareLease(router.shares, lease, uptimeAt(now) + LeaseTime);
     router.keepAt = now + KeepInterval;
 }
 
 void claimShares(Fleet &fleet, Router &router, TimePoint now, int first)
 {
     router.claimAt = now + ClaimInterval;
-    const int fair = fairShares(router.heard, leastShares(fleet.rules));
+    const int fair = fairShareCount(router.heard, minShares(fleet.rules));
     for (const ShareClaim &released : releaseSurplus(router.shares, fleet.options, fair)) {
         fleet.store.entries.erase(released.number);
     }
-    if (!wantsShares(router.shares, fair)) {
+    if (!needsShares(router.shares, fair)) {
         return;
     }
-    std::map<int, StandingShare> standing;
+    std::map<int, StoredShare> stored;
     for (const auto &[number, entry] : fleet.store.entries) {
-        standing[number] = entry.share;
+        stored[number] = entry.share;
     }
-    const auto claims = planClaims(router.shares, fleet.options, standing, router.name, fair, first);
+    const auto claims = planClaims(router.shares, fleet.options, stored, router.name, fair, first);
     const std::uint64_t revision = ++fleet.store.last;
     for (const ShareClaim &claim : claims) {
         fleet.store.entries[claim.number] = {{router.name, revision}, router.shares.lease};
     }
-    holdShares(router.shares, claims, revision, now + fleet.rules.window + fleet.options.lateness);
+    addShares(router.shares, claims, revision, now + fleet.rules.window + fleet.options.maxSendDelay);
 }
 
 void restart(Router &router)
 {
-    router.allowance = {};
+    router.budget = {};
     router.shares = {};
     router.heard = 1;
     router.keepAt = {};
@@ -176,9 +176,9 @@
             due -= 1;
             Router &router = fleet.routers[turn++ % fleet.routers.size()];
             requests.push_back(now);
-            countRequest(router.allowance, fleet.rules, now);
-            const double part = partOf(usableShares(router.shares, now, uptimeAt(now)));
-            for (int i = 0; i < fleet.wanted && takeRepeat(router.allowance, fleet.rules, part, now).granted; ++i) {
+            countRequest(router.budget, fleet.rules, now);
+            const double part = fractionOf(usableShares(router.shares, now, uptimeAt(now)));
+            for (int i = 0; i < fleet.wanted && tryTakeRetry(router.budget, fleet.rules, part, now).granted; ++i) {
                 repeats.push_back(now);
                 ++result.taken;
             }
@@ -272,8 +272,8 @@
 TEST_CASE("a share that another router held is used only after a window")
 {
     LimitShares shares;
-    keepShareLease(shares, 1, seconds(12));
-    holdShares(shares, {{0, 0}}, 7, Start + seconds(12));
+    renewShareLease(shares, 1, seconds(12));
+    addShares(shares, {{0, 0}}, 7, Start + seconds(12));
     CHECK(usableShares(shares, Start + seconds(11), seconds(1)).none());
     CHECK(usableShares(shares, Start + seconds(12), seconds(1)).any());
     SECTION("and not once the lease may have ended")
@@ -282,7 +282,7 @@
     }
     SECTION("and not under another lease")
     {
-        keepShareLease(shares, 2, seconds(24));
+        renewShareLease(shares, 2, seconds(24));
         CHECK(usableShares(shares, Start + seconds(12), seconds(1)).none());
     }
 }
--- a/godwit/gateway/route_table.cpp
+++ b/godwit/gateway/route_table.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-std::string normalHost(std::string_view host)
+std::string normalizeHost(std::string_view host)
 {
     const auto colon = host.rfind(':');
     if (colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos) {
@@ -38,9 +38,9 @@
     const SiteDocument &site = table->document;
     for (std::size_t i = 0; i < site.routes.size(); ++i) {
         const GatewayRoute &route = site.routes[i];
-        table->routes.emplace(routeKey(normalHost(route.host), route.pathPrefix), i);
+        table->routes.emplace(routeKey(normalizeHost(route.host), route.pathPrefix), i);
         if (!route.allowedRegions.empty()) {
-            restrictTo(table->regionsByHost[normalHost(route.host)], route.allowedRegions);
+            restrictTo(table->regionsByHost[normalizeHost(route.host)], route.allowedRegions);
         }
     }
     for (std::size_t i = 0; i < site.customers.size(); ++i) {
@@ -57,7 +57,7 @@
 const GatewayRoute *findRoute(const RouteTable &table, std::string_view host, std::string_view target)
 {
     std::string_view path = target.substr(0, target.find_first_of("?#"));
-    std::string key = routeKey(normalHost(host), path);
+    std::string key = routeKey(normalizeHost(host), path);
     const std::size_t hostLength = key.size() - path.size();
     // Prefixes begin and end with a slash: only the places of slashes can be the end of one.
     for (auto slash = key.rfind('/'); slash != std::string::npos && slash >= hostLength; slash = key.rfind('/')) {
@@ -73,7 +73,7 @@
 
 AllowedRegions regionsOfHost(const RouteTable &table, std::string_view host)
 {
-    const auto found = table.regionsByHost.find(normalHost(host));
+    const auto found = table.regionsByHost.find(normalizeHost(host));
     return found == table.regionsByHost.end() ? AllowedRegions() : found->second;
 }
 
--- a/godwit/gateway/testing_engines.cpp
+++ b/godwit/gateway/testing_engines.cpp
@@ -15,27 +15,27 @@
 {
 
 constexpr const char *Service = "engine";
-constexpr Duration WayThereAndBack = std::chrono::milliseconds(8);
-constexpr Duration PromptToldAfter = std::chrono::milliseconds(1);
-constexpr Duration ToldFrom = std::chrono::milliseconds(12);
+constexpr Duration RoundTripTime = std::chrono::milliseconds(8);
+constexpr Duration AnnounceDelay = std::chrono::milliseconds(1);
+constexpr Duration AnnounceThreshold = std::chrono::milliseconds(12);
 // How long a request goes on after its first event.
-constexpr Duration Writing = std::chrono::milliseconds(900);
-constexpr std::size_t LongParts = 140;
-constexpr std::size_t ShortParts = 180;
+constexpr Duration DecodeTime = std::chrono::milliseconds(900);
+constexpr std::size_t LongPrefixes = 140;
+constexpr std::size_t ShortPrefixes = 180;
 
 struct Request
 {
     Tokens prompt = 0;
     Tokens shared = 0;
-    std::string part;
+    std::string prefix;
     bool isLong = false;
 };
 
 struct Engine
 {
-    TimePoint readsUntil;
+    TimePoint busyUntil;
     double millisecondsPerToken = 0;
-    std::set<std::string> kept;
+    std::set<std::string> cachedPrefixes;
 };
 
 struct Event
@@ -43,13 +43,13 @@
     enum class Kind {
         FirstEvent,
         End,
-        PromptTold,
+        PromptAnnounced,
     };
     TimePoint at;
     Kind kind = Kind::FirstEvent;
     std::size_t router = 0;
     EndpointId endpoint;
-    ReadId read = 0;
+    PrefillId prefill = 0;
     PromptSent prompt;
 
     bool operator>(const Event &other) const
@@ -58,10 +58,10 @@
     }
 };
 
-class Play
+class PlacementSimulation
 {
 public:
-    Play(const PlacementLoad &load, Placement placement)
+    PlacementSimulation(const PlacementLoad &load, Placement placement)
         : m_load(load)
         , m_placement(placement)
         , m_random(load.seed)
@@ -70,7 +70,7 @@
     {
         std::vector<ListedEndpoint> listed;
         for (std::size_t i = 0; i < load.engines; ++i) {
-            const bool isSlow = static_cast<double>(i) < load.slowEngines * static_cast<double>(load.engines);
+            const bool isSlow = static_cast<double>(i) < load.slowFraction * static_cast<double>(load.engines);
             m_engines[i].millisecondsPerToken = (isSlow ? 4 : 1) / load.tokensPerMillisecond;
             listed.push_back({EndpointId{std::to_string(i)}, Service, "", DataCentreId{"north"}, 64, false, 0});
         }
@@ -94,14 +94,14 @@
     }
 
 private:
-    Request draw(double partLong)
+    Request draw(double longFraction)
     {
         Request request;
-        request.isLong = std::uniform_real_distribution<double>(0, 1)(m_random) < partLong;
+        request.isLong = std::uniform_real_distribution<double>(0, 1)(m_random) < longFraction;
         std::lognormal_distribution<double> size(0, request.isLong ? 1.0 : 0.8);
         const double factor = std::min(size(m_random), 9.0);
-        const std::size_t part = m_random() % (request.isLong ? LongParts : ShortParts);
-        request.part = (request.isLong ? "long-" : "short-") + std::to_string(part);
+        const std::size_t prefix = m_random() % (request.isLong ? LongPrefixes : ShortPrefixes);
+        request.prefix = (request.isLong ? "long-" : "short-") + std::to_string(prefix);
         request.shared = request.isLong ? 5400 : 300;
         request.prompt = request.shared + static_cast<Tokens>(factor * (request.isLong ? 4500 : 500));
         return request;
@@ -113,23 +113,24 @@
         const Choice choice = place(router, request, now);
         EndpointState &endpoint = *choice.endpoint;
         Engine &engine = m_engines[std::stoul(endpoint.listed.id.value)];
-        const bool kept = !engine.kept.insert(request.part).second;
-        const bool keptElsewhere = !kept && !m_known.insert(request.part).second;
-        m_result.reread += keptElsewhere ? request.shared : 0;
-        const Tokens unread = request.prompt - (kept ? request.shared : 0);
-        const double reading = static_cast<double>(unread) * engine.millisecondsPerToken * 1000;
-        engine.readsUntil = std::max(engine.readsUntil, now) + Duration(static_cast<Duration::rep>(reading));
-        const TimePoint firstEvent = engine.readsUntil + WayThereAndBack;
+        const bool cached = !engine.cachedPrefixes.insert(request.prefix).second;
+        const bool cachedElsewhere = !cached && !m_cachedPrefixes.insert(request.prefix).second;
+        m_result.recomputedTokens += cachedElsewhere ? request.shared : 0;
+        const Tokens uncachedTokens = request.prompt - (cached ? request.shared : 0);
+        const double reading = static_cast<double>(uncachedTokens) * engine.millisecondsPerToken * 1000;
+        engine.busyUntil = std::max(engine.busyUntil, now) + Duration(static_cast<Duration::rep>(reading));
+        const TimePoint firstEvent = engine.busyUntil + RoundTripTime;
         count(request, firstEvent - now);
         beginAttempt(endpoint);
-        const ReadId read = ++m_reads;
-        EngineSpeed &speed = m_tables[router].speeds[Service];
-        beginRead(endpoint.load, speed, read, choice.unread, now);
-        m_events.push({firstEvent, Event::Kind::FirstEvent, router, endpoint.listed.id, read, {}});
-        m_events.push({firstEvent + Writing, Event::Kind::End, router, endpoint.listed.id, read, {}});
-        if (readingTime(endpoint.load, speed, choice.unread) >= ToldFrom) {
-            const PromptSent prompt{endpoint.listed.id, choice.unread, request.part};
-            m_events.push({now + PromptToldAfter, Event::Kind::PromptTold, router, endpoint.listed.id, read, prompt});
+        const PrefillId prefill = ++m_prefills;
+        PrefillSpeed &speed = m_tables[router].prefillSpeeds[Service];
+        beginPrefill(endpoint.load, speed, prefill, choice.uncachedTokens, now);
+        m_events.push({firstEvent, Event::Kind::FirstEvent, router, endpoint.listed.id, prefill, {}});
+        m_events.push({firstEvent + DecodeTime, Event::Kind::End, router, endpoint.listed.id, prefill, {}});
+        if (prefillTime(endpoint.load, speed, choice.uncachedTokens) >= AnnounceThreshold) {
+            const PromptSent prompt{endpoint.listed.id, choice.uncachedTokens, request.prefix};
+            m_events.push(
+                {now + AnnounceDelay, Event::Kind::PromptAnnounced, router, endpoint.listed.id, prefill, prompt});
         }
     }
 
@@ -146,39 +147,39 @@
         EndpointTable &table = m_tables[router];
         ChoiceQuery query;
         query.service = Service;
-        query.affinity = request.part;
+        query.affinity = request.prefix;
         query.promptTokens = request.prompt;
         query.sharedTokens = request.shared;
         query.latencyTarget = request.isLong ? 2 * m_load.target : m_load.target;
-        if (m_placement == Placement::ByReading) {
+        if (m_placement == Placement::ByPrefillTime) {
             return chooseEndpoint(table, query, {}, m_random(), now);
         }
         std::vector<EndpointState *> all;
         for (auto &[id, endpoint] : table.endpoints) {
             all.push_back(&endpoint);
         }
-        return Choice{placeByCount(all, request), request.prompt};
+        return Choice{placeByRequestCount(all, request), request.prompt};
     }
 
-    EndpointState *placeByCount(const std::vector<EndpointState *> &all, const Request &request)
+    EndpointState *placeByRequestCount(const std::vector<EndpointState *> &all, const Request &request)
     {
         const auto less = [](const EndpointState *a, const EndpointState *b) {
             return a->inFlight < b->inFlight;
         };
-        const std::size_t lot = m_random() % all.size();
+        const std::size_t index = m_random() % all.size();
         switch (m_placement) {
         case Placement::RoundRobin:
             return all[m_next++ % all.size()];
         case Placement::TwoChoices:
-            return std::min(all[lot], all[m_random() % all.size()], less);
-        case Placement::SharedPartBound:
-            return boundByMean(all, request.part);
+            return std::min(all[index], all[m_random() % all.size()], less);
+        case Placement::BoundedAffinity:
+            return boundByMean(all, request.prefix);
         default:
             return *std::min_element(all.begin(), all.end(), less);
         }
     }
 
-    static EndpointState *boundByMean(const std::vector<EndpointState *> &all, const std::string &part)
+    static EndpointState *boundByMean(const std::vector<EndpointState *> &all, const std::string &prefix)
     {
         int total = 0;
         for (const EndpointState *endpoint : all) {
@@ -188,7 +189,7 @@
         EndpointState *best = nullptr;
         std::uint64_t bestWeight = 0;
         for (EndpointState *endpoint : all) {
-            const std::uint64_t weight = rendezvousWeight(part, endpoint->listed.id.value);
+            const std::uint64_t weight = rendezvousWeight(prefix, endpoint->listed.id.value);
             if (endpoint->inFlight < bound && (best == nullptr || weight > bestWeight)) {
                 best = endpoint;
                 bestWeight = weight;
@@ -212,15 +213,15 @@
         EndpointState &endpoint = own.endpoints.at(event.endpoint);
         switch (event.kind) {
         case Event::Kind::FirstEvent:
-            endRead(endpoint.load, own.speeds[Service], event.read, event.at);
+            finishPrefill(endpoint.load, own.prefillSpeeds[Service], event.prefill, event.at);
             break;
         case Event::Kind::End:
-            endAttempt(endpoint, AttemptVerdict::Good, {}, event.at);
+            endAttempt(endpoint, AttemptFeedback::Good, {}, event.at);
             break;
-        case Event::Kind::PromptTold:
+        case Event::Kind::PromptAnnounced:
             for (std::size_t i = 0; i < m_tables.size(); ++i) {
                 if (i != event.router) {
-                    notePromptElsewhere(m_tables[i], event.prompt, {}, event.at);
+                    recordRemotePrompt(m_tables[i], event.prompt, {}, event.at);
                 }
             }
             break;
@@ -232,18 +233,18 @@
     std::mt19937_64 m_random;
     std::vector<Engine> m_engines;
     std::vector<EndpointTable> m_tables;
-    std::set<std::string> m_known; // Parts that some engine keeps.
+    std::set<std::string> m_cachedPrefixes; // Parts that some engine keeps.
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     PlacementResult m_result;
-    ReadId m_reads = 0;
+    PrefillId m_prefills = 0;
     std::size_t m_next = 0;
 };
 
 } // namespace
 
-PlacementResult playPlacement(const PlacementLoad &load, Placement placement)
+PlacementResult simulatePlacement(const PlacementLoad &load, Placement placement)
 {
-    return Play(load, placement).run();
+    return PlacementSimulation(load, placement).run();
 }
 
 } // namespace Godwit::Testing
--- a/godwit/gateway/testing_engines.h
+++ b/godwit/gateway/testing_engines.h
@@ -6,7 +6,7 @@
 // Several routers place requests, each with its own table; they tell each other of long prompts as the real ones do.
 //
 // Example:
-//   const PlacementResult result = playPlacement(PlacementLoad{}, Placement::ByReading);
+//   const PlacementResult result = simulatePlacement(PlacementLoad{}, Placement::ByPrefillTime);
 
 #include "godwit/gateway/endpoint_table.h"
 
@@ -17,8 +17,8 @@
 {
 
 enum class Placement {
-    ByReading, // chooseEndpoint().
-    SharedPartBound, // The usual place of the shared part, unless it has over 1.25 times the mean requests: as before.
+    ByPrefillTime, // chooseEndpoint().
+    BoundedAffinity, // The usual place of the shared part, unless it has over 1.25 times the mean requests: as before.
     LeastInFlight, // Of this router's own requests.
     TwoChoices, // The less loaded of two by lot.
     RoundRobin,
@@ -33,7 +33,7 @@
     double shortPerSecond = 77; // 1,000 tokens in the mean.
     Duration target = std::chrono::milliseconds(400);
     Duration length = std::chrono::seconds(30);
-    double slowEngines = 0; // Part of the engines that take four times as long.
+    double slowFraction = 0; // Part of the engines that take four times as long.
     std::uint64_t seed = 1;
 };
 
@@ -43,9 +43,9 @@
     int shortLate = 0; // Short requests whose first event came after the target.
     int longLate = 0; // Long ones after twice the target.
     int shorts = 0;
-    Tokens reread = 0; // Shared parts that another engine kept.
+    Tokens recomputedTokens = 0; // Shared parts that another engine kept.
 };
 
-PlacementResult playPlacement(const PlacementLoad &load, Placement placement);
+PlacementResult simulatePlacement(const PlacementLoad &load, Placement placement);
 
 } // namespace Godwit::Testing
--- a/godwit/gateway/value_delta.cpp
+++ b/godwit/gateway/value_delta.cpp
@@ -12,14 +12,14 @@
 {
 
 // A cut falls on average each 128 bytes: a row of a document is some 200, so that a change costs few rows.
-constexpr std::uint64_t CutMask = 0x7f;
-constexpr std::size_t ShortestPiece = 32;
-constexpr std::size_t LongestPiece = 1024;
+constexpr std::uint64_t BoundaryMask = 0x7f;
+constexpr std::size_t MinChunkSize = 32;
+constexpr std::size_t MaxChunkSize = 1024;
 // A number and its frame in a message.
 constexpr std::size_t PartOverhead = 8;
 
 // A value for each byte for the rolling hash, equal in every version (splitmix64).
-constexpr std::array<std::uint64_t, 256> makeGears()
+constexpr std::array<std::uint64_t, 256> makeGearTable()
 {
     std::array<std::uint64_t, 256> gears{};
     std::uint64_t state = 0;
@@ -33,24 +33,24 @@
     return gears;
 }
 
-constexpr std::array<std::uint64_t, 256> Gears = makeGears();
+constexpr std::array<std::uint64_t, 256> GearTable = makeGearTable();
 
 // The next piece of `rest`: its end depends on the bytes before it alone.
-std::string_view takePiece(std::string_view &rest)
+std::string_view takeChunk(std::string_view &rest)
 {
     std::uint64_t rolling = 0;
     std::size_t length = 0;
-    while (length < rest.size() && length < LongestPiece) {
-        rolling = (rolling << 1U) + Gears[static_cast<unsigned char>(rest[length])];
+    while (length < rest.size() && length < MaxChunkSize) {
+        rolling = (rolling << 1U) + GearTable[static_cast<unsigned char>(rest[length])];
         ++length;
         // The high bits hold the most bytes.
-        if (length >= ShortestPiece && ((rolling >> 32U) & CutMask) == 0) {
+        if (length >= MinChunkSize && ((rolling >> 32U) & BoundaryMask) == 0) {
             break;
         }
     }
-    const std::string_view piece = rest.substr(0, length);
+    const std::string_view chunk = rest.substr(0, length);
     rest.remove_prefix(length);
-    return piece;
+    return chunk;
 }
 
 void appendCopy(ValueDelta &delta, std::uint64_t offset, std::uint64_t length)
@@ -80,17 +80,17 @@
     std::unordered_map<std::string_view, std::uint64_t> offsets;
     for (std::string_view rest = base; !rest.empty();) {
         const auto offset = static_cast<std::uint64_t>(base.size() - rest.size());
-        offsets.emplace(takePiece(rest), offset);
+        offsets.emplace(takeChunk(rest), offset);
     }
     ValueDelta delta;
     delta.hash = stableHash(value);
     for (std::string_view rest = value; !rest.empty();) {
-        const std::string_view piece = takePiece(rest);
-        const auto found = offsets.find(piece);
+        const std::string_view chunk = takeChunk(rest);
+        const auto found = offsets.find(chunk);
         if (found != offsets.end()) {
-            appendCopy(delta, found->second, piece.size());
+            appendCopy(delta, found->second, chunk.size());
         } else {
-            appendBytes(delta, piece);
+            appendBytes(delta, chunk);
         }
     }
     return delta;
--- a/godwit/relay/caller_connection.cpp
+++ b/godwit/relay/caller_connection.cpp
@@ -248,11 +248,11 @@
     close();
 }
 
-bool CallerConnection::beginAnswer(AnswerFraming framing)
+bool CallerConnection::beginAnswer(ResponseFraming framing)
 {
     const RelayState &state = m_relay.state();
     const bool stops = state.stage == RelayStage::Leaving || state.stage == RelayStage::Stopping;
-    const bool endsWithConnection = framing == AnswerFraming::Connection;
+    const bool endsWithConnection = framing == ResponseFraming::Connection;
     m_saidClose = !m_keepAlive || stops || state.endsConnections || endsWithConnection;
     if (endsWithConnection) {
         resetOnClose(true);
--- a/godwit/relay/caller_connection.h
+++ b/godwit/relay/caller_connection.h
@@ -45,7 +45,7 @@
     std::size_t queuedBytes() const override;
     void finish() override;
     void breakOff() override;
-    bool beginAnswer(AnswerFraming framing) override;
+    bool beginAnswer(ResponseFraming framing) override;
 
 private:
     using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
--- a/godwit/relay/caller_connection_test.cpp
+++ b/godwit/relay/caller_connection_test.cpp
@@ -143,21 +143,21 @@
     const std::string unknownRoute = "HTTP/1.1 404";
     SECTION("a peer has held a newer one for two seconds")
     {
-        noteAnswer(state.documentAgreement, now, std::chrono::seconds(2), now);
+        recordPeerState(state.documentAgreement, now, std::chrono::seconds(2), now);
         router.ask("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(refused) == 0);
     }
     SECTION("a peer has held a newer list of endpoints")
     {
-        noteAnswer(state.endpointsAgreement, now, std::chrono::seconds(2), now);
+        recordPeerState(state.endpointsAgreement, now, std::chrono::seconds(2), now);
         router.ask("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(refused) == 0);
     }
     SECTION("no peer has answered for long: the host is cut off, and serves what it can")
     {
-        noteAnswer(state.documentAgreement, now, std::chrono::seconds(2), now - std::chrono::seconds(3));
+        recordPeerState(state.documentAgreement, now, std::chrono::seconds(2), now - std::chrono::seconds(3));
         state.routes = makeRouteTable(documentWithRoute());
         router.ask("keep-alive");
         router.run(std::chrono::milliseconds(20));
@@ -165,7 +165,7 @@
     }
     SECTION("the peers hold nothing newer")
     {
-        noteAnswer(state.documentAgreement, now, Duration::zero(), now);
+        recordPeerState(state.documentAgreement, now, Duration::zero(), now);
         router.ask("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(unknownRoute) == 0);
@@ -189,30 +189,30 @@
     }
     const std::string denied = routeIsKnown ? "HTTP/1.1 401" : "HTTP/1.1 404";
     state.routes = makeRouteTable(document);
-    CopyAgreement &agreement = state.documentAgreement;
+    CopyFreshness &agreement = state.documentAgreement;
     std::string expected = "HTTP/1.1 503";
     SECTION("it has heard nothing")
     {
     }
     SECTION("what it heard is old")
     {
-        noteReading(agreement, longAgo);
-        noteAnswer(agreement, longAgo, Duration::zero(), longAgo);
-        noteEqualReading(agreement, longAgo);
+        recordFullRead(agreement, longAgo);
+        recordPeerState(agreement, longAgo, Duration::zero(), longAgo);
+        recordMatchingPeerRead(agreement, longAgo);
     }
     SECTION("it has read the store itself")
     {
-        noteReading(agreement, now - std::chrono::seconds(1));
+        recordFullRead(agreement, now - std::chrono::seconds(1));
         expected = denied;
     }
     SECTION("a peer holds nothing newer")
     {
-        noteAnswer(agreement, now, Duration::zero(), now);
+        recordPeerState(agreement, now, Duration::zero(), now);
         expected = denied;
     }
     SECTION("another router has read the store and found no more")
     {
-        noteEqualReading(agreement, now);
+        recordMatchingPeerRead(agreement, now);
         expected = denied;
     }
     router.ask("keep-alive");
@@ -255,7 +255,7 @@
     }
     SECTION("it says so")
     {
-        listed.leaving = true;
+        listed.draining = true;
         replaceEndpoints(state.endpoints, {listed});
     }
     SECTION("its entry goes")
--- a/godwit/relay/endpoint_exchange.cpp
+++ b/godwit/relay/endpoint_exchange.cpp
@@ -36,12 +36,12 @@
 // Bodies are passed on as they come and never gathered here; the library reserves a declared length, though.
 constexpr std::uint64_t MaxAnswerBytes = 64ULL * 1024 * 1024;
 
-AnswerFraming framingOf(const http::response_parser<http::string_body> &parser)
+ResponseFraming framingOf(const http::response_parser<http::string_body> &parser)
 {
     if (parser.chunked()) {
-        return AnswerFraming::Chunked;
+        return ResponseFraming::Chunked;
     }
-    return parser.need_eof() ? AnswerFraming::Connection : AnswerFraming::Length;
+    return parser.need_eof() ? ResponseFraming::Connection : ResponseFraming::Length;
 }
 
 TimePoint steadyNow()
@@ -239,7 +239,7 @@
 {
     m_buffer.commit(count);
     if (error) {
-        m_connectionEnd = error == asio::error::eof ? ConnectionEnd::InOrder : ConnectionEnd::Broken;
+        m_connectionEnd = error == asio::error::eof ? ConnectionEnd::Closed : ConnectionEnd::Broken;
     }
     const bool ownAnswerOpen = m_headTaken && !m_skipping && !m_parser->is_done();
     if (error == asio::error::eof && ownAnswerOpen && m_parser->need_eof()) {
@@ -320,7 +320,7 @@
         return true;
     }
     if (m_withdrawn) {
-        endWithdrawal(m_facts.notRun ? WithdrawalOutcome::NotRun : WithdrawalOutcome::Answered);
+        endWithdrawal(m_facts.notExecuted ? WithdrawalOutcome::NotRun : WithdrawalOutcome::Answered);
         return false;
     }
     m_handlers.onHead(head, m_facts);
@@ -342,7 +342,7 @@
 {
     const auto &facts = m_facts;
     // The rest of a request that is still being sent, or bytes after the answer, would spoil the next exchange.
-    const bool reusable = m_written && m_buffer.size() == 0 && !facts.leaving && m_parser->keep_alive();
+    const bool reusable = m_written && m_buffer.size() == 0 && !facts.closesConnection && m_parser->keep_alive();
     if (reusable) {
         Duration keep = m_options.keepIdle;
         if (facts.keepAlive) {
--- a/godwit/relay/endpoint_exchange.h
+++ b/godwit/relay/endpoint_exchange.h
@@ -11,7 +11,7 @@
 //   exchange->start(endpoint, address, bytes, attemptId);
 
 #include "godwit/base/time.h"
-#include "godwit/gateway/request_facts.h"
+#include "godwit/gateway/request_metadata.h"
 #include "godwit/relay/connection_pool.h"
 #include "platform/http_codec.h"
 
@@ -56,7 +56,7 @@
     std::function<bool()> maySend;
     // Called before the first byte goes out on any connection; unset: nobody is told.
     std::function<void()> onSending;
-    std::function<void(const AnswerHead &, const AnswerFacts &)> onHead;
+    std::function<void(const AnswerHead &, const ResponseMetadata &)> onHead;
     std::function<void(std::string_view)> onBody;
     std::function<void()> onEnd;
     std::function<void(ExchangeFailure)> onFailed;
@@ -149,7 +149,7 @@
     boost::asio::steady_timer m_timer;
     boost::beast::flat_buffer m_buffer;
     std::optional<Parser> m_parser;
-    AnswerFacts m_facts;
+    ResponseMetadata m_facts;
     EndpointId m_endpoint;
     std::string m_bytes;
     std::string m_attemptId;
--- a/godwit/relay/relay.h
+++ b/godwit/relay/relay.h
@@ -11,12 +11,12 @@
 //   relay.tokensCame();
 
 #include "godwit/base/time.h"
-#include "godwit/gateway/answer_ending.h"
-#include "godwit/gateway/copy_agreement.h"
-#include "godwit/gateway/crash_watch.h"
+#include "godwit/gateway/copy_freshness.h"
+#include "godwit/gateway/crash_detector.h"
 #include "godwit/gateway/endpoint_table.h"
 #include "godwit/gateway/limit_shares.h"
-#include "godwit/gateway/repeat_allowance.h"
+#include "godwit/gateway/response_ending.h"
+#include "godwit/gateway/retry_budget.h"
 #include "godwit/gateway/route_table.h"
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/relay/call_metrics.h"
@@ -64,7 +64,7 @@
     PrepaidOptions prepaid;
     ChoiceOptions choice;
     ExchangeOptions exchange;
-    RepeatRules repeats;
+    RetryBudgetOptions repeats;
     LimitShareOptions limitShares;
     // How long a request waits for its budget at most, and no longer than an eighth of its latency target: a draw
     // takes some 15 ms, an answer from another router less.
@@ -76,7 +76,7 @@
     // be away.
     Duration behindFor = std::chrono::milliseconds(1200);
     Duration copyPatience = std::chrono::seconds(10);
-    AgreementOptions agreement;
+    FreshnessOptions agreement;
     // How long a suspect waits for its service to have endpoints to spare. Those that crash are back within seconds.
     Duration trialPatience = std::chrono::seconds(10);
     // Time kept at the end of a caller's patience, so that the final answer still arrives.
@@ -98,9 +98,9 @@
     std::shared_ptr<const RouteTable> routes; // Null until the first document.
     EndpointTable endpoints;
     PrepaidShare prepaid;
-    std::map<std::string, RepeatAllowance> repeats; // By service.
+    std::map<std::string, RetryBudget> repeats; // By service.
     LimitShares limitShares;
-    SenderGroup senders;
+    AdvertisedRouters senders;
     RelayStage stage = RelayStage::Starting;
     int liveRouters = 1;
     bool platformInReach = false;
@@ -109,9 +109,9 @@
     TimePoint endpointsAsOf; // The list of endpoints is at least as new as this.
     TimePoint documentAsOf; // So is the document.
     bool endsConnections = false; // Connections end after their answers, so that their callers connect anew.
-    CopyAgreement endpointsAgreement; // Whether the list is as new as those of the other routers.
-    CopyAgreement documentAgreement;
-    CrashWatch crashWatch;
+    CopyFreshness endpointsAgreement; // Whether the list is as new as those of the other routers.
+    CopyFreshness documentAgreement;
+    CrashDetector crashWatch;
     RecentAnswers recentAnswers;
     SuspectBook suspects; // Requests under which endpoints died.
     std::set<EndpointId> trialEndpoints; // Where suspects are being tried, by any router.
@@ -121,8 +121,8 @@
 struct RequestCut
 {
     EndpointId endpoint;
-    EndpointStart start = 0;
-    CutRun run;
+    EndpointIncarnation start = 0;
+    InterruptedAttempt run;
     SuspectLabel label;
 };
 
@@ -170,7 +170,7 @@
     std::map<std::string, std::uint64_t> attemptsFailed; // By cause.
     std::map<RepeatKind, std::uint64_t> repeatDraws;
     SendCounters sends;
-    std::map<AnswerEnding, std::uint64_t> answersEnded; // Answers of endpoints, or what came of them.
+    std::map<ResponseEnding, std::uint64_t> answersEnded; // Answers of endpoints, or what came of them.
     std::uint64_t convictions = 0; // Of requests, given here.
     std::uint64_t suspectsCleared = 0;
     std::uint64_t suspectsUnrecorded = 0; // For want of room.
--- a/godwit/relay/relay_call.cpp
+++ b/godwit/relay/relay_call.cpp
@@ -16,9 +16,9 @@
 constexpr int LeastUrgent = 9;
 
 // What requests share, so that they meet where it is cached: the last part of the prompt but the request's own.
-std::string_view sharedPart(const RequestFacts &facts)
+std::string_view sharedPart(const RequestMetadata &facts)
 {
-    const auto &parts = facts.promptParts;
+    const auto &parts = facts.promptSegments;
     if (parts.empty()) {
         return {};
     }
@@ -26,9 +26,9 @@
 }
 
 // How much of the prompt lies up to the end of that part.
-Tokens sharedTokens(const RequestFacts &facts)
+Tokens sharedTokens(const RequestMetadata &facts)
 {
-    const auto &parts = facts.promptParts;
+    const auto &parts = facts.promptSegments;
     Tokens sum = 0;
     for (std::size_t i = 0; i + 1 < parts.size(); ++i) {
         sum += parts[i].tokens;
@@ -132,7 +132,7 @@
     restrictTo(m_regions, customer->allowedRegions);
     m_urgency = customer->priority.value_or(m_route->priority);
     if (customer->prepaid) {
-        m_worstCase = m_facts.declaresTokens ? m_facts.promptTokens + m_facts.maxOutputTokens : NoTokens;
+        m_worstCase = m_facts.declaresTokenCounts ? m_facts.promptTokens + m_facts.maxOutputTokens : NoTokens;
         noteRequest(m_relay.state().prepaid, m_customer, m_worstCase, m_arrived);
     }
     return true;
@@ -209,7 +209,7 @@
 {
     sendTo(choice);
     if (m_service != nullptr && m_service->engine && m_facts.promptTokens > 0) {
-        beginReading(*choice.endpoint, choice.unread);
+        beginReading(*choice.endpoint, choice.uncachedTokens);
     }
 }
 
@@ -217,23 +217,23 @@
 Duration RelayCall::endpointsBack() const
 {
     const TimePoint now = Relay::now();
-    const auto warm = warmAgainAt(m_relay.state().endpoints, m_serviceName, now);
+    const auto warm = nextWarmAt(m_relay.state().endpoints, m_serviceName, now);
     return warm ? *warm - now + comeBackByLot() : m_relay.options().comeBack;
 }
 
 void RelayCall::beginReading(EndpointState &endpoint, Tokens unread)
 {
-    const EngineSpeed &speed = m_relay.state().endpoints.speeds[m_serviceName];
+    const PrefillSpeed &speed = m_relay.state().endpoints.prefillSpeeds[m_serviceName];
     do {
         m_read = m_relay.random();
     } while (m_read == 0);
-    beginRead(endpoint.load, speed, m_read, unread, m_sentAt);
+    beginPrefill(endpoint.load, speed, m_read, unread, m_sentAt);
     if (m_relay.onPromptSent) {
         PromptSent prompt{m_endpoint, unread, {}};
         if (m_route->cachesPrompts) {
-            prompt.part = sharedPart(m_facts);
+            prompt.prefix = sharedPart(m_facts);
         }
-        m_relay.onPromptSent(prompt, readingTime(endpoint.load, speed, unread));
+        m_relay.onPromptSent(prompt, prefillTime(endpoint.load, speed, unread));
     }
 }
 
@@ -241,7 +241,7 @@
 {
     EndpointState *endpoint = currentEndpoint();
     if (m_read != 0 && endpoint != nullptr) {
-        endRead(endpoint->load, m_relay.state().endpoints.speeds[m_serviceName], m_read, Relay::now());
+        finishPrefill(endpoint->load, m_relay.state().endpoints.prefillSpeeds[m_serviceName], m_read, Relay::now());
     }
     m_read = 0;
 }
@@ -250,7 +250,7 @@
 {
     EndpointState *endpoint = currentEndpoint();
     if (m_read != 0 && endpoint != nullptr) {
-        dropRead(endpoint->load, m_relay.state().endpoints.speeds[m_serviceName], m_read, Relay::now());
+        cancelPrefill(endpoint->load, m_relay.state().endpoints.prefillSpeeds[m_serviceName], m_read, Relay::now());
     }
     m_read = 0;
 }
@@ -259,22 +259,22 @@
 bool RelayCall::maySend()
 {
     const EndpointState *chosen = currentEndpoint();
-    if (chosen == nullptr || !takesNewWork(*chosen)) {
+    if (chosen == nullptr || !acceptsNewRequests(*chosen)) {
         return false;
     }
     const TimePoint now = Relay::now();
-    const bool limited = isLimited(m_relay.state().endpoints, *chosen, now);
+    const bool limited = isColdStartLimited(m_relay.state().endpoints, *chosen, now);
     return !limited || (m_coldChoice && now < m_sentAt + m_relay.options().coldChoiceHolds);
 }
 
 void RelayCall::sendTo(const Choice &choice)
 {
     EndpointState &endpoint = *choice.endpoint;
-    SendFacts send;
+    ForwardMetadata send;
     send.endpoint = endpoint.listed.id.value;
     send.customer = m_customer.value;
     send.timeLeft = timeLeft();
-    send.urgency = std::clamp(m_urgency, 0, LeastUrgent);
+    send.priority = std::clamp(m_urgency, 0, LeastUrgent);
     if (m_eventsPassed > 0) {
         send.resumeAfter = m_lastEvent;
     }
@@ -300,7 +300,7 @@
     handlers.onSending = [self, left = send.timeLeft] {
         self->noteSending(left);
     };
-    handlers.onHead = [self](const AnswerHead &head, const AnswerFacts &facts) {
+    handlers.onHead = [self](const AnswerHead &head, const ResponseMetadata &facts) {
         self->onHead(head, facts);
     };
     handlers.onBody = [self](std::string_view bytes) {
@@ -324,7 +324,7 @@
 {
     const bool nothingSent = failure == ExchangeFailure::NotConnected || failure == ExchangeFailure::Withdrawn;
     if (nothingSent) {
-        endAttempt(failure == ExchangeFailure::Withdrawn ? AttemptVerdict::Neutral : AttemptVerdict::Unreachable);
+        endAttempt(failure == ExchangeFailure::Withdrawn ? AttemptFeedback::Neutral : AttemptFeedback::Unreachable);
         tryAgain(std::string(exchangeFailureName(failure)), false);
         return;
     }
@@ -334,7 +334,7 @@
     m_progress = Progress::Sent;
     ++m_ran;
     m_mayHaveBegun = true;
-    endAttempt(AttemptVerdict::Unreachable);
+    endAttempt(AttemptFeedback::Unreachable);
     const std::string cause(exchangeFailureName(failure));
     if (failure == ExchangeFailure::Malformed) {
         tryAgain(cause, true);
@@ -395,10 +395,10 @@
 
 // What an attempt that is given up says of its endpoint. An endpoint whose host has vanished closes no connection: its
 // silence is the only sign, and the requests that follow should not wait there as well.
-AttemptVerdict RelayCall::silenceVerdict() const
+AttemptFeedback RelayCall::silenceVerdict() const
 {
     const Duration silence = Relay::now() - std::max(m_sentAt, m_lastEventAt.value_or(m_sentAt));
-    return silence >= m_relay.options().suspiciousSilence ? AttemptVerdict::Slow : AttemptVerdict::Neutral;
+    return silence >= m_relay.options().suspiciousSilence ? AttemptFeedback::Slow : AttemptFeedback::Neutral;
 }
 
 void RelayCall::callerLeft()
@@ -418,7 +418,7 @@
     close(CallEnd::CallerLeft);
 }
 
-void RelayCall::endAttempt(AttemptVerdict verdict)
+void RelayCall::endAttempt(AttemptFeedback verdict)
 {
     m_attemptOpen = false;
     m_exchange.reset();
@@ -453,7 +453,7 @@
                          {"platform_in_reach", m_relay.state().platformInReach},
                          {"may_have_run", m_ran > 0}});
     auto *sink = m_sink;
-    const std::string bytes = writeRefusal(error, m_facts.attemptId, sink->beginAnswer(AnswerFraming::Length));
+    const std::string bytes = writeRefusal(error, m_facts.attemptId, sink->beginAnswer(ResponseFraming::Length));
     close(CallEnd::Refused);
     sink->send(bytes);
     sink->finish();
@@ -514,7 +514,7 @@
 
 EndpointState *RelayCall::currentEndpoint()
 {
-    return findStart(m_relay.state().endpoints, m_endpoint, m_endpointStart);
+    return findIncarnation(m_relay.state().endpoints, m_endpoint, m_endpointStart);
 }
 
 } // namespace Godwit
--- a/godwit/relay/relay_call.h
+++ b/godwit/relay/relay_call.h
@@ -9,7 +9,7 @@
 
 #include "godwit/base/error.h"
 #include "godwit/gateway/endpoint_table.h"
-#include "godwit/gateway/request_facts.h"
+#include "godwit/gateway/request_metadata.h"
 #include "godwit/gateway/route_table.h"
 #include "godwit/http/event_stream.h"
 #include "godwit/relay/endpoint_exchange.h"
@@ -41,7 +41,7 @@
     // The answer can't be completed: the caller must see that it is cut.
     virtual void breakOff() = 0;
     // Called before the head of an answer that is framed so. Returns whether the connection closes after it.
-    virtual bool beginAnswer(AnswerFraming framing) = 0;
+    virtual bool beginAnswer(ResponseFraming framing) = 0;
 };
 
 class RelayCall : public std::enable_shared_from_this<RelayCall>
@@ -91,12 +91,12 @@
     void noteSending(Duration timeLeft);
     bool maySend();
     Duration endpointsBack() const;
-    void onHead(const AnswerHead &head, const AnswerFacts &facts);
+    void onHead(const AnswerHead &head, const ResponseMetadata &facts);
     void onBody(std::string_view bytes);
     void onEnd();
     void onFailed(ExchangeFailure failure);
     void passEvents(std::string_view bytes);
-    void passHead(AnswerFraming framing, std::string_view body = {});
+    void passHead(ResponseFraming framing, std::string_view body = {});
     void passPiece(std::string_view bytes);
     void noteEnding();
     void tryAgainOnceKnown(const std::string &cause);
@@ -110,14 +110,14 @@
     SuspectLabel label() const;
     std::uint64_t fingerprint();
     void logUndeclaredEnd() const;
-    void endAttempt(AttemptVerdict verdict);
-    AttemptVerdict silenceVerdict() const;
+    void endAttempt(AttemptFeedback verdict);
+    AttemptFeedback silenceVerdict() const;
     void giveUpAttempt();
     void onWithdrawn(WithdrawalOutcome outcome);
     void tryAgain(const std::string &cause, bool reachedEndpoint);
     bool mayRepeat() const;
     bool drawRepeat(std::string_view cause);
-    void recordRepeat(std::string_view cause, RepeatOutcome outcome, const RepeatDraw &draw);
+    void recordRepeat(std::string_view cause, RepeatOutcome outcome, const RetryDecision &draw);
     bool runsAtMostOnce() const;
     void onDeadline();
     void refuse(ErrorKind kind, std::string message, std::optional<Duration> retryAfter);
@@ -138,7 +138,7 @@
     AnswerSink *m_sink;
     RequestHead m_head;
     std::string m_body;
-    RequestFacts m_facts;
+    RequestMetadata m_facts;
     std::shared_ptr<const RouteTable> m_table; // Keeps m_route and m_service alive over changes.
     const GatewayRoute *m_route = nullptr;
     const GatewayService *m_service = nullptr;
@@ -165,21 +165,21 @@
     int m_sends = 0;
     std::shared_ptr<EndpointExchange> m_exchange;
     EndpointId m_endpoint;
-    EndpointStart m_endpointStart = 0;
+    EndpointIncarnation m_endpointStart = 0;
     TimePoint m_sentAt;
     std::optional<TimePoint> m_drawnAt; // When another send was granted.
     bool m_attemptOpen = false;
     bool m_newConnection = false; // Of the latest attempt.
     bool m_trial = false; // The latest attempt is the fleet's one run of a suspect.
     bool m_coldChoice = false; // The latest attempt is one of the few that a cold endpoint gets.
-    ReadId m_read = 0; // The prompt that the endpoint still has to read; 0: none.
+    PrefillId m_read = 0; // The prompt that the endpoint still has to read; 0: none.
 
     std::optional<AnswerHead> m_answerHead;
-    AnswerFacts m_answer;
-    std::optional<AnswerEnding> m_ending; // Of the latest attempt's answer, once it has ended.
+    ResponseMetadata m_answer;
+    std::optional<ResponseEnding> m_ending; // Of the latest attempt's answer, once it has ended.
     bool m_streams = false; // The answer is passed on event by event.
     bool m_headPassed = false;
-    AnswerFraming m_passedFraming = AnswerFraming::Length; // Once the head has been passed on.
+    ResponseFraming m_passedFraming = ResponseFraming::Length; // Once the head has been passed on.
     std::string m_whole; // An answer that is gathered before it is passed on.
     EventSplitter m_events;
     std::uint64_t m_lastEvent = 0;
--- a/godwit/relay/relay_call_answer.cpp
+++ b/godwit/relay/relay_call_answer.cpp
@@ -28,29 +28,29 @@
 
 } // namespace
 
-void RelayCall::onHead(const AnswerHead &head, const AnswerFacts &facts)
+void RelayCall::onHead(const AnswerHead &head, const ResponseMetadata &facts)
 {
     m_answerHead = head;
     m_answer = facts;
     const bool success = facts.status / 100 == 2;
-    m_streams = success && facts.sealed && facts.carriesEvents && m_route->kind == GatewayRouteKind::Streaming;
+    m_streams = success && facts.sealed && facts.isEventStream && m_route->kind == GatewayRouteKind::Streaming;
     if (m_streams && !m_headPassed) {
-        passHead(AnswerFraming::Chunked);
+        passHead(ResponseFraming::Chunked);
     }
 }
 
-void RelayCall::passHead(AnswerFraming framing, std::string_view body)
+void RelayCall::passHead(ResponseFraming framing, std::string_view body)
 {
     m_headPassed = true;
-    m_passedFraming = framingToPass(m_answer.framing, framing);
-    m_relay.counters().answersWithoutDeclaredEnd += m_passedFraming == AnswerFraming::Connection ? 1 : 0;
+    m_passedFraming = framingToForward(m_answer.framing, framing);
+    m_relay.counters().answersWithoutDeclaredEnd += m_passedFraming == ResponseFraming::Connection ? 1 : 0;
     const bool closes = m_sink->beginAnswer(m_passedFraming);
     m_sink->send(writeAnswerHead(*m_answerHead, m_passedFraming, body.size(), closes).append(body));
 }
 
 void RelayCall::passPiece(std::string_view bytes)
 {
-    m_sink->send(m_passedFraming == AnswerFraming::Chunked ? chunk(bytes) : std::string(bytes));
+    m_sink->send(m_passedFraming == ResponseFraming::Chunked ? chunk(bytes) : std::string(bytes));
 }
 
 void RelayCall::onBody(std::string_view bytes)
@@ -63,7 +63,7 @@
     if (m_whole.size() > m_relay.options().wholeAnswerBytes && m_answer.status / 100 == 2 && m_answer.sealed) {
         // Too long to hold back: pass it on as it comes, in pieces whose end shows.
         if (!m_headPassed) {
-            passHead(AnswerFraming::Chunked);
+            passHead(ResponseFraming::Chunked);
         }
         passPiece(std::exchange(m_whole, {}));
     }
@@ -103,7 +103,7 @@
 // Of an attempt whose answer has begun.
 void RelayCall::noteEnding()
 {
-    AnswerEnding ending;
+    ResponseEnding ending;
     ending.framing = m_answer.framing;
     ending.connection = m_exchange->connectionEnd();
     if (m_streams) {
@@ -118,17 +118,17 @@
 {
     const auto position = m_ending->position.value_or(StreamPosition::AtEdge);
     const bool insideEvent = position == StreamPosition::InsideNumber || position == StreamPosition::InsideEvent;
-    if (m_ending->framing != AnswerFraming::Connection && !insideEvent) {
+    if (m_ending->framing != ResponseFraming::Connection && !insideEvent) {
         return;
     }
     m_relay.log().write("answer_ended",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"endpoint", std::string_view(m_endpoint.value)},
                          {"status", static_cast<std::int64_t>(m_answer.status)},
-                         {"framing", answerFramingName(m_ending->framing)},
+                         {"framing", responseFramingName(m_ending->framing)},
                          {"connection", connectionEndName(m_ending->connection)},
                          {"position", positionName(*m_ending)},
-                         {"extent", answerExtentName(extentOf(*m_ending))},
+                         {"extent", responseCompletenessName(completenessOf(*m_ending))},
                          {"pending_bytes", static_cast<std::int64_t>(pendingBytes(m_events))},
                          {"events_passed", static_cast<std::int64_t>(m_eventsPassed)},
                          {"attempt_ms", toMilliseconds(Relay::now() - m_sentAt)}});
@@ -139,30 +139,30 @@
     noteEnding();
     logUndeclaredEnd();
     const bool success = m_answer.status / 100 == 2;
-    if (m_answer.notRun) {
+    if (m_answer.notExecuted) {
         // Between streams that are resumed a refusal leaves the earlier part as it was.
-        endAttempt(AttemptVerdict::Shed);
-        tryAgain(m_answer.otherEndpoint ? "address_reused" : "shed", true);
+        endAttempt(AttemptFeedback::Shed);
+        tryAgain(m_answer.wrongEndpoint ? "address_reused" : "shed", true);
         return;
     }
     m_progress = Progress::Sent;
     ++m_ran;
     m_mayHaveBegun = true;
     if (success && !m_answer.sealed) {
-        endAttempt(AttemptVerdict::Failed);
+        endAttempt(AttemptFeedback::Failed);
         tryAgain("unsealed_answer", true);
         return;
     }
     if (m_headPassed && !m_streams && m_route->kind == GatewayRouteKind::Streaming) {
         // A stream that should go on was answered with a failure, perhaps before its first event. Passed on, its text
         // would end the stream as if that were whole.
-        endAttempt(AttemptVerdict::Failed);
+        endAttempt(AttemptFeedback::Failed);
         tryAgain("resume_failed", true);
         return;
     }
-    const AnswerExtent extent = extentOf(*m_ending);
-    if (extent == AnswerExtent::BrokenOff) {
-        endAttempt(AttemptVerdict::Unreachable);
+    const ResponseCompleteness extent = completenessOf(*m_ending);
+    if (extent == ResponseCompleteness::Truncated) {
+        endAttempt(AttemptFeedback::Unreachable);
         if (m_ending->connection == ConnectionEnd::Open) {
             tryAgain("ended_inside_stream", true);
         } else {
@@ -171,8 +171,8 @@
         return;
     }
     const bool failed = m_answer.status >= 500;
-    endAttempt(failed ? AttemptVerdict::Failed : AttemptVerdict::Good);
-    if (m_headPassed && !mayEndWhole(m_passedFraming, extent)) {
+    endAttempt(failed ? AttemptFeedback::Failed : AttemptFeedback::Good);
+    if (m_headPassed && !mayEndAsComplete(m_passedFraming, extent)) {
         tryAgain("end_not_declared", true);
         return;
     }
@@ -184,7 +184,7 @@
     }
     if (!m_headPassed) {
         m_firstAnswerAt = Relay::now();
-        passHead(AnswerFraming::Length, m_whole);
+        passHead(ResponseFraming::Length, m_whole);
     } else if (const std::string rest = m_streams ? takePending(m_events) : m_whole; !rest.empty()) {
         passPiece(rest);
     }
@@ -196,7 +196,7 @@
     ++m_relay.counters().answered;
     noteWholeAnswer();
     auto *sink = m_sink;
-    if (m_passedFraming == AnswerFraming::Chunked) {
+    if (m_passedFraming == ResponseFraming::Chunked) {
         sink->send("0\r\n\r\n");
     }
     close(CallEnd::Answered);
--- a/godwit/relay/relay_call_repeats.cpp
+++ b/godwit/relay/relay_call_repeats.cpp
@@ -53,13 +53,13 @@
     const RelayOptions &options = m_relay.options();
     RelayState &state = m_relay.state();
     const TimePoint now = Relay::now();
-    const double part = partOf(usableShares(state.limitShares, now, Relay::uptime()));
-    const RepeatDraw draw = takeRepeat(state.repeats[m_serviceName], options.repeats, part, now);
+    const double part = fractionOf(usableShares(state.limitShares, now, Relay::uptime()));
+    const RetryDecision draw = tryTakeRetry(state.repeats[m_serviceName], options.repeats, part, now);
     recordRepeat(cause, draw.granted ? RepeatOutcome::Taken : RepeatOutcome::Denied, draw);
     return draw.granted;
 }
 
-void RelayCall::recordRepeat(std::string_view cause, RepeatOutcome outcome, const RepeatDraw &draw)
+void RelayCall::recordRepeat(std::string_view cause, RepeatOutcome outcome, const RetryDecision &draw)
 {
     ++m_relay.counters().repeatDraws[{m_serviceName, std::string(cause), outcome}];
     m_relay.log().write("repeat",
@@ -71,9 +71,9 @@
                          {"status", static_cast<std::int64_t>(m_answerHead ? m_answer.status : 0)},
                          {"sends", static_cast<std::int64_t>(m_sends)},
                          {"requests", draw.requests},
-                         {"repeats", draw.repeats},
+                         {"repeats", draw.retries},
                          {"allowed_by_requests", draw.allowedByRequests},
-                         {"allowed_fixed", draw.allowedFixed},
+                         {"allowed_fixed", draw.allowedBySlack},
                          {"shares", static_cast<std::int64_t>(m_relay.state().limitShares.held.size())}});
 }
 
@@ -88,7 +88,7 @@
                          {"new_connection", m_newConnection},
                          {"attempt_ms", toMilliseconds(Relay::now() - m_sentAt)},
                          {"status", static_cast<std::int64_t>(m_answerHead ? m_answer.status : 0)},
-                         {"framing", m_ending ? answerFramingName(m_ending->framing) : "none"},
+                         {"framing", m_ending ? responseFramingName(m_ending->framing) : "none"},
                          {"connection", m_ending ? connectionEndName(m_ending->connection) : "none"},
                          {"position", m_ending ? positionName(*m_ending) : "none"},
                          {"events_passed", static_cast<std::int64_t>(m_eventsPassed)},
--- a/godwit/relay/relay_call_suspects.cpp
+++ b/godwit/relay/relay_call_suspects.cpp
@@ -34,11 +34,11 @@
     if (!m_ending || m_answer.status >= leastFailure || !m_relay.onWholeAnswer) {
         return;
     }
-    const bool declared = extentOf(*m_ending) == AnswerExtent::Declared;
+    const bool declared = completenessOf(*m_ending) == ResponseCompleteness::Declared;
     if (declared) {
         noteAnswer(state.recentAnswers, fingerprint(), Relay::now());
     }
-    if (state.suspects.deathCount.empty() && state.crashWatch.cuts.empty()) {
+    if (state.suspects.deathCount.empty() && state.crashWatch.interruptions.empty()) {
         return;
     }
     if (declared) {
@@ -94,11 +94,11 @@
 void RelayCall::askForTrial(const Choice &choice)
 {
     const EndpointId endpoint = choice.endpoint->listed.id;
-    const EndpointStart start = choice.endpoint->listed.startedAt;
+    const EndpointIncarnation start = choice.endpoint->listed.startedAt;
     const auto onAnswer = [self = shared_from_this(), wished = choice, endpoint, start](bool granted) {
         Choice chosen = wished;
-        chosen.endpoint = findStart(self->m_relay.state().endpoints, endpoint, start);
-        const bool gone = chosen.endpoint == nullptr || !takesNewWork(*chosen.endpoint);
+        chosen.endpoint = findIncarnation(self->m_relay.state().endpoints, endpoint, start);
+        const bool gone = chosen.endpoint == nullptr || !acceptsNewRequests(*chosen.endpoint);
         if (granted && (gone || self->m_closed)) {
             self->m_relay.onTrialEnded(self->fingerprint());
         }
--- a/godwit/relay/send_record.cpp
+++ b/godwit/relay/send_record.cpp
@@ -18,7 +18,7 @@
 {
     SendCounters &counters = relay.counters().sends;
     const Duration sinceDraw = send.sinceDraw.value_or(Duration::zero());
-    counters.late += sinceDraw > relay.options().limitShares.lateness ? 1 : 0;
+    counters.late += sinceDraw > relay.options().limitShares.maxSendDelay ? 1 : 0;
     counters.stale += send.sinceReckoned > StaleTimeLeft ? 1 : 0;
     counters.beyondAttempts += send.ran >= send.maxEndpoints ? 1 : 0;
     counters.underSuspicion += send.deaths > 0 ? 1 : 0;
