--- a/godwit/daemon/budget_keeper.cpp
+++ b/godwit/daemon/budget_keeper.cpp
@@ -47,8 +47,8 @@
 void BudgetKeeper::onTick()
 {
     const TimePoint now = Relay::now();
-    const bool bound = m_relay.state().prepaid.marksBind;
-    if (checkMarks(m_relay.state().prepaid, m_hostTime())) {
+    const bool bound = m_relay.state().prepaid.markLimitsFixed;
+    if (updateMarkAge(m_relay.state().prepaid, m_hostTime())) {
         if (bound) {
             m_relay.log().write("marks_bind_no_more", {});
         }
@@ -298,14 +298,14 @@
         m_relay.log().write("records_unreadable", {{"cause", std::string_view(reason->message)}});
         return;
     }
-    const bool first = !share.takenOver;
+    const bool first = !share.predecessorSettled;
     onRecordsRead(share, std::move(*record), ledger.item.revision, marks, mark.item.revision);
     m_relay.log().write(
         "budgets_read",
         {{"ledger_revision", static_cast<std::int64_t>(ledger.item.revision)},
          {"first", first},
          {"mark_found", marks.has_value()},
-         {"mark_age_ms", first && share.foundMarkAge ? share.foundMarkAge->count() : std::int64_t{-1}}});
+         {"mark_age_ms", first && share.predecessorMarkAge ? share.predecessorMarkAge->count() : std::int64_t{-1}}});
     if (first) {
         logLedger();
     }
@@ -322,7 +322,7 @@
                              {"total", account.total},
                              {"spent", account.spent},
                              {"unsure", account.unsure},
-                             {"room", roomOf(account)}});
+                             {"room", unallocatedTokens(account)}});
     }
 }
 
--- a/godwit/daemon/fleet_homes.cpp
+++ b/godwit/daemon/fleet_homes.cpp
@@ -69,7 +69,7 @@
 {
     const PrepaidShare &share = m_relay.state().prepaid;
     const auto account = share.accounts.find(customer);
-    if (account != share.accounts.end() && account->second.holdsAhead) {
+    if (account != share.accounts.end() && account->second.isHome) {
         askHolders(customer, needed);
     } else {
         askHome(customer, needed);
@@ -108,8 +108,9 @@
 // else be refused while its home holds plenty.
 void FleetLinks::keepAhead()
 {
-    const Duration ahead = aheadTime(m_exchangeTime, m_options.ahead);
-    for (const auto &[customer, tokens] : tokensAhead(m_relay.state().prepaid, ahead, m_options.ahead, Relay::now())) {
+    const Duration ahead = prefetchTime(m_exchangeTime, m_options.ahead);
+    for (const auto &[customer, tokens] :
+         tokensToPrefetch(m_relay.state().prepaid, ahead, m_options.ahead, Relay::now())) {
         askHome(customer, tokens);
     }
 }
@@ -124,7 +125,7 @@
     }
     askedAt = now;
     Tokens lacking = needed - headroom(m_relay.state().prepaid, customer);
-    auto &known = m_relay.state().prepaid.heldElsewhere[customer];
+    auto &known = m_relay.state().prepaid.peerHoldings[customer];
     for (auto &[incarnation, peer] : m_peers) {
         const auto entry = known.find(HolderId{peer.member.callerAddress});
         if (lacking > 0 && peer.linked && isFresh(peer, now) && entry != known.end() && entry->second.spendable > 0) {
@@ -271,8 +272,8 @@
     for (auto &[customer, account] : share.accounts) {
         bounded += account.bounded ? 1 : 0;
         const bool isHome = m_relay.isReady() && isEntry() && m_settled && homeOf(customer, hosts) == nullptr;
-        if (account.bounded && account.holdsAhead != isHome) {
-            account.holdsAhead = isHome;
+        if (account.bounded && account.isHome != isHome) {
+            account.isHome = isHome;
             m_relay.log().write("home", {{"customer", std::string_view(customer.value)}, {"holds", isHome}});
         }
     }
@@ -285,11 +286,10 @@
     PrepaidShare &share = m_relay.state().prepaid;
     const auto hosts = homeHosts(Relay::now());
     for (const auto &[customer, account] : share.accounts) {
-        Peer *home =
-            account.bounded && !account.holdsAhead && account.reserved == 0 ? homeOf(customer, hosts) : nullptr;
+        Peer *home = account.bounded && !account.isHome && account.reserved == 0 ? homeOf(customer, hosts) : nullptr;
         const Tokens left = headroom(share, customer);
         if (home != nullptr && left > 0 && isNearEnd(share, customer)) {
-            send(takeLeftovers(share, customer, HolderId{home->member.callerAddress}));
+            send(takeUnusedTokens(share, customer, HolderId{home->member.callerAddress}));
         }
     }
 }
@@ -304,10 +304,10 @@
     return json::array({headroom(share, customer),
                         unusedGrant(share, customer),
                         static_cast<Tokens>(demandPerSecond(share, customer, now)),
-                        roomKnown(share, customer),
-                        mayRemain(share, customer),
+                        knownUnallocated(share, customer),
+                        maxRemaining(share, customer),
                         share.ledgerRevision,
-                        m_relay.state().platformInReach ? 0 : untilTokensGrow(share, customer, now).count(),
+                        m_relay.state().platformInReach ? 0 : timeUntilLimitGrows(share, customer, now).count(),
                         tellsSizes ? sizesRow(demandBySize(share, customer, now)) : json::array()});
 }
 
@@ -320,14 +320,14 @@
     if (!sizes) {
         return;
     }
-    HeldElsewhere &known = m_relay.state().prepaid.heldElsewhere[customer][holder];
+    PeerHolding &known = m_relay.state().prepaid.peerHoldings[customer][holder];
     known.spendable = row[0].get<Tokens>();
     known.unused = row[1].get<Tokens>();
     known.demandPerSecond = row[2].get<double>();
-    known.room = row[3].get<Tokens>();
+    known.unallocated = row[3].get<Tokens>();
     known.remaining = row[4].get<Tokens>();
     known.ledgerRevision = row[5].get<std::uint64_t>();
-    known.growsAt = Relay::now() + Duration(row[6].get<Duration::rep>());
+    known.limitGrowsAt = Relay::now() + Duration(row[6].get<Duration::rep>());
     known.demandBySize = *sizes;
 }
 
@@ -337,7 +337,7 @@
     if (held == beat.end() || !held->is_object()) {
         return;
     }
-    for (auto &[customer, holders] : m_relay.state().prepaid.heldElsewhere) {
+    for (auto &[customer, holders] : m_relay.state().prepaid.peerHoldings) {
         if (held->find(customer.value) == held->end()) {
             holders.erase(holder);
         }
@@ -356,14 +356,14 @@
     const TimePoint now = Relay::now();
     PrepaidShare &share = m_relay.state().prepaid;
     noteRequest(share, wish->customer, wish->tokens[0], now);
-    TokenAsk ask;
+    TransferRequest ask;
     ask.from = HolderId{peer.member.callerAddress};
     ask.customer = wish->customer;
     ask.needed = wish->tokens[0];
-    ask.until = now + m_options.wishWaits;
-    const auto gift = askTokens(share, ask);
+    ask.deadline = now + m_options.wishWaits;
+    const auto gift = requestTransfer(share, ask);
     // Without tokens it says that the wish has arrived and has to wait.
-    send(gift.value_or(TokenGift{ask.from, ask.customer, 0}), wish->tokens[1]);
+    send(gift.value_or(TokenTransfer{ask.from, ask.customer, 0}), wish->tokens[1]);
     if (!gift && m_relay.onTokensWanted) {
         m_relay.onTokensWanted(ask.customer, ask.needed);
     }
@@ -392,13 +392,13 @@
 
 void FleetLinks::serveAsks()
 {
-    for (const TokenGift &gift : Godwit::serveAsks(m_relay.state().prepaid, Relay::now())) {
+    for (const TokenTransfer &gift : Godwit::serveTransferRequests(m_relay.state().prepaid, Relay::now())) {
         send(gift);
     }
 }
 
 // Counted as gone before it is sent: a message that is lost costs tokens, and none is ever there twice.
-void FleetLinks::send(const TokenGift &gift, Tokens stamp)
+void FleetLinks::send(const TokenTransfer &gift, Tokens stamp)
 {
     const auto peer = std::find_if(m_peers.begin(), m_peers.end(), [&gift](const auto &entry) {
         return entry.second.linked && entry.second.member.callerAddress == gift.to.value;
@@ -416,10 +416,10 @@
     if (!asked) {
         return;
     }
-    const TokenWish wish{asked->tokens[1], asked->tokens[0]};
+    const TokenDemand wish{asked->tokens[1], asked->tokens[0]};
     const Tokens amount = sendTokens(m_relay.state().prepaid, asked->customer, wish, Relay::now());
     if (amount > 0) {
-        send(TokenGift{HolderId{peer.member.callerAddress}, asked->customer, amount});
+        send(TokenTransfer{HolderId{peer.member.callerAddress}, asked->customer, amount});
     }
 }
 
--- a/godwit/daemon/fleet_links.cpp
+++ b/godwit/daemon/fleet_links.cpp
@@ -292,7 +292,7 @@
     json held = json::object();
     for (const auto &[customer, account] : share.accounts) {
         // Also a former home that has used all of its grant: others would take it for unused.
-        const bool tells = account.holdsAhead || account.granted > 0;
+        const bool tells = account.isHome || account.granted > 0;
         if (account.bounded && tells && held.size() < m_options.maxCustomersInBeat) {
             held[customer.value] = heldRow(customer);
         }
@@ -405,7 +405,7 @@
     }
     LastReason reason;
     if (auto ledger = decodePrepaidLedger(message[1].get<std::string>(), reason)) {
-        onLedgerHeard(m_relay.state().prepaid, std::move(*ledger), message[0].get<std::uint64_t>());
+        onLedgerUpdate(m_relay.state().prepaid, std::move(*ledger), message[0].get<std::uint64_t>());
     } else {
         m_relay.log().write("ledger_unreadable", {{"cause", std::string_view(reason->message)}});
     }
@@ -475,7 +475,7 @@
             heard.insert(HolderId{peer.member.callerAddress});
         }
     }
-    for (auto &[customer, holders] : m_relay.state().prepaid.heldElsewhere) {
+    for (auto &[customer, holders] : m_relay.state().prepaid.peerHoldings) {
         for (auto it = holders.begin(); it != holders.end();) {
             it = heard.count(it->first) == 0 ? holders.erase(it) : std::next(it);
         }
--- a/godwit/daemon/fleet_links.h
+++ b/godwit/daemon/fleet_links.h
@@ -10,7 +10,7 @@
 #include "godwit/gateway/byte_allowance.h"
 #include "godwit/gateway/entry_hosts.h"
 #include "godwit/gateway/reading_turns.h"
-#include "godwit/prepaid/tokens_ahead.h"
+#include "godwit/prepaid/token_prefetch.h"
 #include "godwit/relay/relay.h"
 #include "godwit/router/router_mesh.h"
 #include "godwit/suspects/suspect_notice.h"
@@ -52,7 +52,7 @@
     // for so long is passed over for `passOver`: a host that vanished closes no link, and beats tell only after 1.6 s.
     Duration answerLimit = std::chrono::milliseconds(40);
     Duration passOver = std::chrono::seconds(1);
-    TokensAheadOptions ahead;
+    TokenPrefetchOptions ahead;
     std::size_t homeHosts = 6;
     // How long a wish waits at a home, and how long it counts as on its way here: no request waits longer.
     Duration wishWaits = std::chrono::milliseconds(200);
@@ -232,7 +232,7 @@
     void watchAnswers();
     void passOverSilent();
     // `stamp`: of the wish that is answered at once, or 0.
-    void send(const TokenGift &gift, Tokens stamp = 0);
+    void send(const TokenTransfer &gift, Tokens stamp = 0);
     void noteLag(Tokens stamp);
     void sendLeftovers();
     nlohmann::json heldRow(const CustomerId &customer) const;
--- a/godwit/daemon/fleet_links_test.cpp
+++ b/godwit/daemon/fleet_links_test.cpp
@@ -293,7 +293,7 @@
     share.accounts.at(desk).granted = 4000;
     share.ledger.accounts[desk].total = total;
     noteRequest(share, desk, 500, Relay::now());
-    const auto &heard = routers[1].relay.state().prepaid.heldElsewhere;
+    const auto &heard = routers[1].relay.state().prepaid.peerHoldings;
     const auto told = [&] {
         const auto found = heard.find(desk);
         return found == heard.end() || found->second.empty() ? std::nullopt
--- a/godwit/daemon/gateway_metrics.cpp
+++ b/godwit/daemon/gateway_metrics.cpp
@@ -72,7 +72,7 @@
     line(out, "godwit_log_lines_dropped_total", static_cast<double>(relay.log().dropped()));
     for (const auto &[customer, account] : relay.state().prepaid.accounts) {
         out << "godwit_budget_granted{customer=\"" << escapeLabel(customer.value) << "\"} " << account.granted << '\n';
-        out << "godwit_budget_used{customer=\"" << escapeLabel(customer.value) << "\"} " << account.net << '\n';
+        out << "godwit_budget_used{customer=\"" << escapeLabel(customer.value) << "\"} " << account.netUsed << '\n';
         out << "godwit_budget_reserved{customer=\"" << escapeLabel(customer.value) << "\"} " << account.reserved
             << '\n';
     }
--- a/godwit/prepaid/prepaid_record.cpp
+++ b/godwit/prepaid/prepaid_record.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-Tokens tokensOf(const json &value)
+Tokens integerFromJson(const json &value)
 {
     if (!value.is_number_integer()) {
         throw json::type_error::create(302, "a whole number is wanted", &value);
@@ -36,11 +36,11 @@
 LedgerAccount accountFromJson(const json &value)
 {
     LedgerAccount account;
-    account.total = tokensOf(value.at("total"));
-    account.spent = tokensOf(value.at("spent"));
-    account.unsure = tokensOf(value.at("unsure"));
+    account.total = integerFromJson(value.at("total"));
+    account.spent = integerFromJson(value.at("spent"));
+    account.unsure = integerFromJson(value.at("unsure"));
     for (const auto &[holder, amount] : value.at("granted").items()) {
-        account.granted[HolderId{holder}] = tokensOf(amount);
+        account.granted[HolderId{holder}] = integerFromJson(amount);
     }
     return account;
 }
@@ -55,24 +55,25 @@
 
 } // namespace
 
-Tokens reachOf(const Mark &mark, std::chrono::milliseconds age)
+Tokens limitAtAge(const Mark &mark, std::chrono::milliseconds age)
 {
-    const auto beyond = std::clamp<std::int64_t>((age - mark.binds).count(), 0, MarkGrowsFor.count());
-    return mark.limit + static_cast<Tokens>(static_cast<double>(mark.perSecond) * static_cast<double>(beyond) / 1000);
+    const auto beyond = std::clamp<std::int64_t>((age - mark.fixedPeriod).count(), 0, MarkGrowthPeriod.count());
+    return mark.limit
+        + static_cast<Tokens>(static_cast<double>(mark.growthPerSecond) * static_cast<double>(beyond) / 1000);
 }
 
-Tokens furthestReachOf(const Mark &mark)
+Tokens maxLimitOf(const Mark &mark)
 {
-    return reachOf(mark, mark.binds + MarkGrowsFor);
+    return limitAtAge(mark, mark.fixedPeriod + MarkGrowthPeriod);
 }
 
-Tokens roomOf(const LedgerAccount &account)
+Tokens unallocatedTokens(const LedgerAccount &account)
 {
-    Tokens room = account.total - account.spent;
+    Tokens unallocated = account.total - account.spent;
     for (const auto &[holder, amount] : account.granted) {
-        room -= amount;
+        unallocated -= amount;
     }
-    return room;
+    return unallocated;
 }
 
 std::string encodePrepaidLedger(const PrepaidLedger &ledger)
@@ -104,7 +105,8 @@
 {
     json marks = json::object();
     for (const auto &[customer, entry] : mark.marks) {
-        marks[customer.value] = json::array({entry.limit, entry.used, entry.perSecond, entry.binds.count()});
+        marks[customer.value] =
+            json::array({entry.limit, entry.used, entry.growthPerSecond, entry.fixedPeriod.count()});
     }
     json value{{"writer", mark.writer.value},
                {"uptime_ms", mark.writtenAt.uptime.count()},
@@ -124,18 +126,19 @@
         const json value = json::parse(bytes);
         MarkRecord mark;
         mark.writer = Incarnation{value.at("writer").get<std::string>()};
-        mark.writtenAt.uptime = std::chrono::milliseconds(tokensOf(value.at("uptime_ms")));
-        mark.writtenAt.wall = std::chrono::milliseconds(tokensOf(value.at("wall_ms")));
+        mark.writtenAt.uptime = std::chrono::milliseconds(integerFromJson(value.at("uptime_ms")));
+        mark.writtenAt.wall = std::chrono::milliseconds(integerFromJson(value.at("wall_ms")));
         // Marks of earlier versions have none.
         const auto steady = value.find("steady_wall_ms");
-        mark.steadyWall = steady == value.end() ? mark.writtenAt.wall : std::chrono::milliseconds(tokensOf(*steady));
+        mark.steadyWall =
+            steady == value.end() ? mark.writtenAt.wall : std::chrono::milliseconds(integerFromJson(*steady));
         mark.writtenAt.boot = value.at("boot").get<std::string>();
         mark.returned = value.value("returned", false);
         for (const auto &[customer, entry] : value.at("marks").items()) {
-            mark.marks[CustomerId{customer}] = Mark{tokensOf(entry.at(0)),
-                                                    tokensOf(entry.at(1)),
-                                                    tokensOf(entry.at(2)),
-                                                    std::chrono::milliseconds(tokensOf(entry.at(3)))};
+            mark.marks[CustomerId{customer}] = Mark{integerFromJson(entry.at(0)),
+                                                    integerFromJson(entry.at(1)),
+                                                    integerFromJson(entry.at(2)),
+                                                    std::chrono::milliseconds(integerFromJson(entry.at(3)))};
         }
         return mark;
     } catch (const json::exception &error) {
--- a/godwit/prepaid/prepaid_record.h
+++ b/godwit/prepaid/prepaid_record.h
@@ -47,9 +47,9 @@
 {
     Tokens limit = 0; // The router goes no further than this while the mark binds.
     Tokens used = 0; // Where it was when it wrote the mark.
-    Tokens perSecond = 0; // How fast the limit grows once the mark binds no more.
+    Tokens growthPerSecond = 0; // How fast the limit grows once the mark binds no more.
     // How long the limit stands, and so for how long a successor may trust it.
-    std::chrono::milliseconds binds{};
+    std::chrono::milliseconds fixedPeriod{};
 };
 
 // A moment as one host knows it. Unlike the time of day, the uptime makes no jumps; it starts anew with the host.
@@ -76,17 +76,17 @@
 // A mark's limit grows no longer than this. A successor whose clocks can't place the mark charges no more than all of
 // the growth: a time of day that jumps beside a loss of power cost whole grants, and with them most of a budget. The
 // store is away for some 9 s at a time, and 2.3 s of lead and 5 s of growth at twice the demand last for 12 s.
-inline constexpr std::chrono::milliseconds MarkGrowsFor{5000};
+inline constexpr std::chrono::milliseconds MarkGrowthPeriod{5000};
 
 // How far a mark lets its router go when it is `age` old. The router reckons with the least age that its clocks allow
 // and its successor with the greatest, so that the one never goes beyond what the other charges.
-Tokens reachOf(const Mark &mark, std::chrono::milliseconds age);
+Tokens limitAtAge(const Mark &mark, std::chrono::milliseconds age);
 
 // How far it lets its router go at any age.
-Tokens furthestReachOf(const Mark &mark);
+Tokens maxLimitOf(const Mark &mark);
 
 // What is neither spent nor granted. Negative after the total was lowered.
-Tokens roomOf(const LedgerAccount &account);
+Tokens unallocatedTokens(const LedgerAccount &account);
 
 std::string encodePrepaidLedger(const PrepaidLedger &ledger);
 std::optional<PrepaidLedger> decodePrepaidLedger(std::string_view bytes, LastReason &reason);
--- a/godwit/prepaid/prepaid_record_test.cpp
+++ b/godwit/prepaid/prepaid_record_test.cpp
@@ -13,7 +13,7 @@
     const auto read = decodePrepaidLedger(encodePrepaidLedger(ledger), reason);
     REQUIRE(read);
     CHECK(read->documentVersion == 7);
-    CHECK(roomOf(read->accounts.at(CustomerId{"desk"})) == 500);
+    CHECK(unallocatedTokens(read->accounts.at(CustomerId{"desk"})) == 500);
     CHECK(read->accounts.at(CustomerId{"desk"}).unsure == 10);
 
     MarkRecord mark;
@@ -27,7 +27,7 @@
     CHECK(readMark->writtenAt.uptime == std::chrono::milliseconds(5));
     CHECK(readMark->steadyWall == std::chrono::milliseconds(7));
     CHECK(readMark->marks.at(CustomerId{"desk"}).limit == 90);
-    CHECK(readMark->marks.at(CustomerId{"desk"}).perSecond == 12);
+    CHECK(readMark->marks.at(CustomerId{"desk"}).growthPerSecond == 12);
 }
 
 TEST_CASE("bytes that are no record give a reason and no value")
--- a/godwit/prepaid/prepaid_share.cpp
+++ b/godwit/prepaid/prepaid_share.cpp
@@ -13,8 +13,8 @@
 using internal::accountOf;
 using internal::boundedAccount;
 using internal::committed;
-using internal::heldByOthers;
 using internal::limitOf;
+using internal::peerHoldingsOf;
 
 namespace
 {
@@ -50,29 +50,29 @@
     return found == share.accounts.end() || !found->second.bounded ? nullptr : &found->second;
 }
 
-const std::map<HolderId, HeldElsewhere> &heldByOthers(const PrepaidShare &share, const CustomerId &customer)
+const std::map<HolderId, PeerHolding> &peerHoldingsOf(const PrepaidShare &share, const CustomerId &customer)
 {
-    static const std::map<HolderId, HeldElsewhere> none;
-    const auto found = share.heldElsewhere.find(customer);
-    return found == share.heldElsewhere.end() ? none : found->second;
+    static const std::map<HolderId, PeerHolding> none;
+    const auto found = share.peerHoldings.find(customer);
+    return found == share.peerHoldings.end() ? none : found->second;
 }
 
 Tokens committed(const ShareAccount &account)
 {
-    return account.net + account.reserved;
+    return account.netUsed + account.reserved;
 }
 
 Tokens limitOf(const PrepaidShare &share, const CustomerId &customer, const ShareAccount &account)
 {
     Tokens limit = account.granted;
     boundBy(limit, share.pendingGrants, customer);
-    boundBy(limit, share.doubtfulGrants, customer);
+    boundBy(limit, share.uncertainGrants, customer);
     // All as old as the newest: those before it let the router go further still.
-    limit = std::min(limit, reachOf(account.mark, share.markAge));
-    for (const auto *marks : {&share.doubtfulMarks, &share.pendingMarks}) {
+    limit = std::min(limit, limitAtAge(account.mark, share.markAge));
+    for (const auto *marks : {&share.uncertainMarks, &share.pendingMarks}) {
         const auto found = marks->find(customer);
         if (found != marks->end()) {
-            limit = std::min(limit, reachOf(found->second, share.markAge));
+            limit = std::min(limit, limitAtAge(found->second, share.markAge));
         }
     }
     return limit;
@@ -128,13 +128,13 @@
         return;
     }
     found->second.reserved -= reserved;
-    found->second.net += std::min(used, reserved);
+    found->second.netUsed += std::min(used, reserved);
 }
 
-void wantMore(PrepaidShare &share, const CustomerId &customer, Tokens tokens)
+void noteShortfall(PrepaidShare &share, const CustomerId &customer, Tokens tokens)
 {
     ShareAccount &account = share.accounts[customer];
-    account.shortOf = std::max(account.shortOf, tokens);
+    account.shortfall = std::max(account.shortfall, tokens);
 }
 
 Tokens headroom(const PrepaidShare &share, const CustomerId &customer)
@@ -146,10 +146,10 @@
     return std::max<Tokens>(0, limitOf(share, customer, *account) - committed(*account));
 }
 
-Tokens roomKnown(const PrepaidShare &share, const CustomerId &customer)
+Tokens knownUnallocated(const PrepaidShare &share, const CustomerId &customer)
 {
     const LedgerAccount *account = ledgerAccount(share, customer);
-    return account == nullptr ? 0 : roomOf(*account);
+    return account == nullptr ? 0 : unallocatedTokens(*account);
 }
 
 Tokens unusedGrant(const PrepaidShare &share, const CustomerId &customer)
@@ -161,7 +161,7 @@
     return std::max<Tokens>(0, account->granted - committed(*account));
 }
 
-Tokens mayRemain(const PrepaidShare &share, const CustomerId &customer)
+Tokens maxRemaining(const PrepaidShare &share, const CustomerId &customer)
 {
     const LedgerAccount *account = ledgerAccount(share, customer);
     const ShareAccount *own = accountOf(share, customer);
@@ -172,16 +172,16 @@
         // Nobody has drawn on it yet.
         return own->total;
     }
-    const auto &others = heldByOthers(share, customer);
-    if (!own->holdsAhead && !others.empty()) {
+    const auto &others = peerHoldingsOf(share, customer);
+    if (!own->isHome && !others.empty()) {
         // This router's own copy of the ledger is as old as its last write; the home's word is not.
-        Tokens told = 0;
+        Tokens reported = 0;
         for (const auto &[holder, held] : others) {
-            told = std::max(told, held.remaining);
+            reported = std::max(reported, held.remaining);
         }
-        return headroom(share, customer) + told;
+        return headroom(share, customer) + reported;
     }
-    Tokens room = roomOf(*account);
+    Tokens unallocated = unallocatedTokens(*account);
     std::uint64_t newest = share.ledgerRevision;
     Tokens remaining = unusedGrant(share, customer);
     for (const auto &[holder, granted] : account->granted) {
@@ -192,33 +192,33 @@
         remaining += held.unused;
         if (held.ledgerRevision > newest) {
             newest = held.ledgerRevision;
-            room = held.room;
+            unallocated = held.unallocated;
         }
     }
-    return remaining + std::max<Tokens>(0, room);
+    return remaining + std::max<Tokens>(0, unallocated);
 }
 
 bool isNearEnd(const PrepaidShare &share, const CustomerId &customer)
 {
     const ShareAccount *account = accountOf(share, customer);
     return account != nullptr && account->bounded
-        && static_cast<double>(mayRemain(share, customer))
-        < share.options.nearEndPart * static_cast<double>(account->total);
+        && static_cast<double>(maxRemaining(share, customer))
+        < share.options.nearEndFraction * static_cast<double>(account->total);
 }
 
-Duration untilTokensGrow(const PrepaidShare &share, const CustomerId &customer, TimePoint now)
+Duration timeUntilLimitGrows(const PrepaidShare &share, const CustomerId &customer, TimePoint now)
 {
     const ShareAccount *own = accountOf(share, customer);
     if (own == nullptr) {
         return Duration::zero();
     }
-    if (own->holdsAhead) {
-        const auto left = own->mark.binds - share.markAge;
+    if (own->isHome) {
+        const auto left = own->mark.fixedPeriod - share.markAge;
         return std::max<Duration>(left, Duration::zero());
     }
     Duration latest = Duration::zero();
-    for (const auto &[holder, held] : heldByOthers(share, customer)) {
-        latest = std::max<Duration>(latest, held.growsAt - now);
+    for (const auto &[holder, held] : peerHoldingsOf(share, customer)) {
+        latest = std::max<Duration>(latest, held.limitGrowsAt - now);
     }
     return latest;
 }
--- a/godwit/prepaid/prepaid_share.h
+++ b/godwit/prepaid/prepaid_share.h
@@ -45,78 +45,78 @@
     Incarnation incarnation;
     HostTime startedAt; // Of this process.
     // How much of its recent demand a router holds: the platform is away for some 9 s at a time.
-    Duration holdFor = std::chrono::seconds(12);
+    Duration grantPeriod = std::chrono::seconds(12);
     // A mark's limit runs this time of demand ahead of what is used, and binds as long: processes are back within some
     // 2 s of their end and find a mark that still binds, so that they charge its limit and no more. A router that can't
     // reach the store goes on without a pause.
-    std::chrono::milliseconds markLead{2300};
+    std::chrono::milliseconds markWriteAhead{2300};
     // A customer that has more left gets a longer lead, up to this: while the mark binds more callers may come.
-    std::chrono::milliseconds longestLead{3500};
+    std::chrono::milliseconds maxWriteAhead{3500};
     // A customer that will have used up its total within this time at its present demand is marked closely: whatever
     // nobody can account for after a death is missing at the end, and a twentieth of the total turns away everything
     // that is still due. The others have enough left.
-    Duration closeMarksWithin = std::chrono::seconds(18);
+    Duration tightMarkThreshold = std::chrono::seconds(18);
     // Close marks run ahead by this part of the total, within the bounds. They bind longer than they run ahead: where
     // the store is away such a customer waits for the difference.
-    double closeLeadPart = 0.012;
+    double tightWriteAheadFraction = 0.012;
     // They run ahead by this part of what is left at most, so that a death does not take all that is kept for small
     // requests.
-    double closeLeadOfRest = 0.25;
-    std::chrono::milliseconds closeLeadLeast{300};
-    std::chrono::milliseconds closeBinds{2300};
+    double tightWriteAheadRemainingFraction = 0.25;
+    std::chrono::milliseconds minTightWriteAhead{300};
+    std::chrono::milliseconds tightFixedPeriod{2300};
     // A mark is written anew when this part of the time that it binds has passed, so that a successor finds a young
     // one.
-    double markRefreshPart = 0.33;
+    double markRefreshFraction = 0.33;
     // A successor takes a mark for this much older than its clocks say: what a clock may be set back unnoticed in
     // small steps.
-    std::chrono::milliseconds markCaution{250};
+    std::chrono::milliseconds markAgeMargin{250};
     // How fast a mark's limit grows once it binds no more, as a multiple of the demand: a customer may ask for more
     // than it lately did.
-    double markGrowth = 2;
+    double markGrowthFactor = 2;
     // It grows faster than the demand only up to this part of the total a second: all of the growth is charged where a
     // death comes with a loss of the store, and a customer that sends five times its usual would lose half of its
     // total.
-    double fastGrowthPart = 0.02;
+    double fastGrowthFraction = 0.02;
     // Where uptime and time of day differ by no more than this over the same span, the uptime, which makes no steps,
     // counts alone. Less than `markCaution`, so that a difference by chance does no harm.
     std::chrono::milliseconds clockAgreement{100};
     // Uptime and time of day that are further apart than this over the same span don't speak of the same host start.
     std::chrono::milliseconds clockTolerance{3000};
     // Marks are written no more often than this, but for requests that wait.
-    std::chrono::milliseconds markEvery{250};
+    std::chrono::milliseconds minMarkInterval{250};
     // In a large fleet each router writes its mark less often, so that the fleet as a whole writes this many a second.
     double fleetMarksPerSecond = 28;
     // A grant is asked for again when less than this is left of it, or at once when a request waits. In a large fleet
     // the time between two marks is taken off, so that one write carries both.
-    Duration refillGrantBelow = std::chrono::milliseconds(10500);
+    Duration refillThreshold = std::chrono::milliseconds(10500);
     // What a router keeps for itself when another one asks for tokens.
-    Duration keepFromOthers = std::chrono::seconds(2);
+    Duration lendingReserve = std::chrono::seconds(2);
     // Time constants of the two averages of the demand, of which the higher counts: the short one follows a burst,
     // the long one keeps a lull from giving everything back. The short one counts in part only: where requests are
     // few, each of them would look like a burst and strand tokens.
-    Duration shortMemory = std::chrono::seconds(2);
-    Duration longMemory = std::chrono::seconds(6);
+    Duration shortTimeConstant = std::chrono::seconds(2);
+    Duration longTimeConstant = std::chrono::seconds(6);
     double shortWeight = 0.6;
     // The averages of a customer that has just come are corrected for their short past, which is taken to be at
     // least this long.
-    Duration leastPast = std::chrono::milliseconds(1500);
+    Duration minRateWindow = std::chrono::milliseconds(1500);
     // Writes for a request that waits come at most this often.
     Duration urgentInterval = std::chrono::milliseconds(40);
     // With no demand yet, each router holds this part of its even share of what is left, ready for the first calls.
-    double idleShare = 0.5;
+    double idleFraction = 0.5;
     // A budget with less than this part of its total left is near its end: what requests have left over goes to the
     // customer's home, and routers tell one another what sizes are asked for.
-    double nearEndPart = 0.15;
+    double nearEndFraction = 0.15;
     // Of the last tokens the demand of each smaller size is kept from a request, for this long times the logarithm of
     // how many times smaller it is: one large request takes the tokens of many small ones. Zero: first come, first
     // served.
-    Duration keepForSmaller = std::chrono::seconds(8);
+    Duration smallRequestReserveTime = std::chrono::seconds(8);
     // No more than this part of the total is kept, so that little is left unused if no more requests come.
-    double keepForSmallerPart = 0.02;
+    double smallRequestReserveFraction = 0.02;
     // A draw of less than this part of a usual request is left undone, unless a request waits for it.
-    double leastDraw = 0.5;
+    double minDrawFraction = 0.5;
     // More than this multiple of what it wants to hold goes back.
-    double returnAbove = 1.4;
+    double returnThresholdFactor = 1.4;
 };
 
 // Sizes of requests in half octaves: one class is some 1.4 times the one before.
@@ -133,30 +133,30 @@
 
 struct ShareAccount
 {
-    Tokens net = 0; // Used and sent to others, less received.
+    Tokens netUsed = 0; // Used and sent to others, less received.
     Tokens reserved = 0; // Of requests under way, at their most.
     Tokens granted = 0; // As the platform has acknowledged.
     Mark mark; // As the platform has acknowledged.
     RecentDemand demand;
-    double meanSize = 0; // Of recent requests.
+    double meanRequestSize = 0; // Of recent requests.
     std::map<SizeClass, RecentDemand> demandBySize;
-    Tokens shortOf = 0; // What waiting requests lack.
+    Tokens shortfall = 0; // What waiting requests lack.
     Tokens total = 0;
     bool bounded = false; // The customer has a prepaid total.
-    bool holdsAhead = true; // This router draws tokens before requests need them.
+    bool isHome = true; // This router draws tokens before requests need them.
 };
 
 // Another router's wish that waits here until a write has made room for it.
-struct TokenAsk
+struct TransferRequest
 {
     HolderId from;
     CustomerId customer;
     Tokens needed = 0;
-    TimePoint until; // Its request waits no longer.
+    TimePoint deadline; // Its request waits no longer.
 };
 
 // Tokens that leave for another router.
-struct TokenGift
+struct TokenTransfer
 {
     HolderId to;
     CustomerId customer;
@@ -173,58 +173,58 @@
 };
 
 // What another router has lately said that it holds of one customer's budget.
-struct HeldElsewhere
+struct PeerHolding
 {
     Tokens spendable = 0; // It could spend or send this now.
     Tokens unused = 0; // What is left of its grant.
     double demandPerSecond = 0;
     std::map<SizeClass, double> demandBySize; // Tokens a second.
-    Tokens room = 0; // What was left to grant at `ledgerRevision`.
+    Tokens unallocated = 0; // What was left to grant at `ledgerRevision`.
     std::uint64_t ledgerRevision = 0;
     Tokens remaining = 0; // By its own mayRemain().
-    TimePoint growsAt; // When its mark will cease to bind, unless it is written anew before.
+    TimePoint limitGrowsAt; // When its mark will cease to bind, unless it is written anew before.
 };
 
 struct PrepaidShare
 {
     PrepaidOptions options;
     std::map<CustomerId, ShareAccount> accounts;
-    std::set<CustomerId> askedFor; // Accounts with demand here lately.
+    std::set<CustomerId> activeCustomers; // Accounts with demand here lately.
     std::uint64_t documentVersion = 0;
     int markWriters = 1; // Routers that are home to some customer, and so write marks.
-    std::deque<TokenAsk> asks; // In the order in which they came.
-    std::map<CustomerId, std::map<HolderId, HeldElsewhere>> heldElsewhere;
+    std::deque<TransferRequest> transferRequests; // In the order in which they came.
+    std::map<CustomerId, std::map<HolderId, PeerHolding>> peerHoldings;
 
     PrepaidLedger ledger; // As last read or written.
     std::uint64_t ledgerRevision = 0;
     std::uint64_t markRevision = 0;
     bool ledgerKnown = false; // False: read before the next write.
-    bool takenOver = false; // What an earlier process on this host held is accounted for.
+    bool predecessorSettled = false; // What an earlier process on this host held is accounted for.
     // When the newest mark that may be in the platform was written; a mark may also be on its way.
     HostTime markWrittenAt;
-    HostTime markWrittenBefore; // The same without the open write.
+    HostTime previousMarkWrittenAt; // The same without the open write.
     // The shortest time that one of that record's marks binds.
-    std::chrono::milliseconds shortestBinds{};
-    bool marksBind = false; // All of them.
+    std::chrono::milliseconds shortestFixedPeriod{};
+    bool markLimitsFixed = false; // All of them.
     // Of that mark, when last looked at; by the clock that shows less.
     std::chrono::milliseconds markAge{};
     // Of the mark that an earlier process on this host left, by the clock that shows more; unset: there was none, or
     // none that this host's clocks can place.
-    std::optional<std::chrono::milliseconds> foundMarkAge;
+    std::optional<std::chrono::milliseconds> predecessorMarkAge;
 
     bool writing = false;
-    bool lastWasReturn = false; // Everything is being given back.
+    bool lastWriteWasReturn = false; // Everything is being given back.
     bool ledgerContended = false; // The last write that named the ledger was refused: another router was faster.
     std::map<CustomerId, Tokens> pendingGrants; // Of the open write.
     std::map<CustomerId, Mark> pendingMarks;
     // Of writes whose outcome nobody knows: they bind until a later write of this router stands, since that one
     // changes the mark's revision and so makes the earlier ones void.
-    std::map<CustomerId, Tokens> doubtfulGrants;
-    std::map<CustomerId, Mark> doubtfulMarks;
+    std::map<CustomerId, Tokens> uncertainGrants;
+    std::map<CustomerId, Mark> uncertainMarks;
     PrepaidLedger pendingLedger;
     bool pendingWritesLedger = false;
     TimePoint lastWriteAt;
-    TimePoint lastWriteBefore; // The same without the open write.
+    TimePoint previousWriteAt; // The same without the open write.
     bool returned = false; // All was given back; nothing more may be spent.
 };
 
@@ -243,16 +243,16 @@
 void noteRequest(PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now);
 
 // How many of the tokens that are left a request of this size has to leave to smaller ones, whoever holds them.
-Tokens keptForSmaller(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now);
+Tokens smallRequestReserve(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now);
 
 // Whether a request of this size would take tokens that are kept for smaller ones.
-bool mustLeaveToSmaller(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now);
+bool wouldUseSmallRequestReserve(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now);
 
 // demandPerSecond() by the size of requests; sizes with less than a token a second are left out.
 std::map<SizeClass, double> demandBySize(const PrepaidShare &share, const CustomerId &customer, TimePoint now);
 
 // Forgets the customer's demand by size. For customers whose requests have ceased: memory is for those that are served.
-void forgetSizes(PrepaidShare &share, const CustomerId &customer);
+void clearDemandBySize(PrepaidShare &share, const CustomerId &customer);
 
 // Reserves `tokens`, or says no. Customers without a total always get a yes.
 bool reserve(PrepaidShare &share, const CustomerId &customer, Tokens tokens);
@@ -261,7 +261,7 @@
 void settle(PrepaidShare &share, const CustomerId &customer, Tokens reserved, Tokens used);
 
 // Notes that a request waits for `tokens`, so that the next write asks for them.
-void wantMore(PrepaidShare &share, const CustomerId &customer, Tokens tokens);
+void noteShortfall(PrepaidShare &share, const CustomerId &customer, Tokens tokens);
 
 // Tokens a second that the customer lately asked for here.
 double demandPerSecond(const PrepaidShare &share, const CustomerId &customer, TimePoint now);
@@ -273,10 +273,10 @@
 Tokens unusedGrant(const PrepaidShare &share, const CustomerId &customer);
 
 // What the ledger had left to grant when it was last read or written here.
-Tokens roomKnown(const PrepaidShare &share, const CustomerId &customer);
+Tokens knownUnallocated(const PrepaidShare &share, const CustomerId &customer);
 
 // What the customer may still have, anywhere in the fleet, counting as unused all that may be unused.
-Tokens mayRemain(const PrepaidShare &share, const CustomerId &customer);
+Tokens maxRemaining(const PrepaidShare &share, const CustomerId &customer);
 
 // Whether little of the customer's total is left: see PrepaidOptions::nearEndPart. Never for one without a total.
 bool isNearEnd(const PrepaidShare &share, const CustomerId &customer);
@@ -284,29 +284,29 @@
 // How long it takes until more of the customer's tokens can be spent than now, here or at its home; zero when nothing
 // but time on the way keeps them. While the store is away this is when the marks cease to bind: a caller that comes
 // back sooner is refused again.
-Duration untilTokensGrow(const PrepaidShare &share, const CustomerId &customer, TimePoint now);
+Duration timeUntilLimitGrows(const PrepaidShare &share, const CustomerId &customer, TimePoint now);
 
 // What another router asks for.
-struct TokenWish
+struct TokenDemand
 {
-    Tokens lacking = 0; // Of requests that wait there.
+    Tokens shortfall = 0; // Of requests that wait there.
     Tokens wanted = 0; // The same and what the next requests will need.
 };
 
 // Tokens that leave for another router. Returns what was taken, at most `wanted`. What is needed here soon stays here,
 // unless a request waits there and none here: near the end of a budget that one can be served and a later one may
 // never come.
-Tokens sendTokens(PrepaidShare &share, const CustomerId &customer, const TokenWish &wish, TimePoint now);
+Tokens sendTokens(PrepaidShare &share, const CustomerId &customer, const TokenDemand &demand, TimePoint now);
 
 // What lies idle here goes to another router.
-TokenGift takeLeftovers(PrepaidShare &share, const CustomerId &customer, const HolderId &to);
+TokenTransfer takeUnusedTokens(PrepaidShare &share, const CustomerId &customer, const HolderId &to);
 
 // Another router needs tokens for requests that wait there. What can be sent at once is in the result; else the wish
 // waits here, and counts as what a request lacks in the next write.
-std::optional<TokenGift> askTokens(PrepaidShare &share, TokenAsk ask);
+std::optional<TokenTransfer> requestTransfer(PrepaidShare &share, TransferRequest request);
 
 // Those of the waiting wishes that can be met now, in their order; those whose time is over go.
-std::vector<TokenGift> serveAsks(PrepaidShare &share, TimePoint now);
+std::vector<TokenTransfer> serveTransferRequests(PrepaidShare &share, TimePoint now);
 
 void receiveTokens(PrepaidShare &share, const CustomerId &customer, Tokens amount);
 
@@ -319,13 +319,13 @@
 
 // The ledger as another router has just written it. Knowing it saves the write that would find it out: a write is
 // refused unless it names the newest revision.
-void onLedgerHeard(PrepaidShare &share, PrepaidLedger ledger, std::uint64_t ledgerRevision);
+void onLedgerUpdate(PrepaidShare &share, PrepaidLedger ledger, std::uint64_t ledgerRevision);
 
 // The next write, if one is due. While one is open none is planned.
 std::optional<ShareWrite> planWrite(PrepaidShare &share, TimePoint now, const HostTime &hostTime);
 
 // Looks whether the marks still bind; call it often. True when they have just ceased to.
-bool checkMarks(PrepaidShare &share, const HostTime &hostTime);
+bool updateMarkAge(PrepaidShare &share, const HostTime &hostTime);
 
 // Gives everything back. Only when no reservation is open; nothing can be reserved afterwards.
 std::optional<ShareWrite> planReturn(PrepaidShare &share, TimePoint now);
--- a/godwit/prepaid/share_demand.cpp
+++ b/godwit/prepaid/share_demand.cpp
@@ -13,13 +13,13 @@
 using internal::accountOf;
 using internal::boundedAccount;
 using internal::demandNow;
-using internal::heldByOthers;
+using internal::peerHoldingsOf;
 
 namespace
 {
 
 // Weight of the newest request in the mean size.
-constexpr double MeanSizeNewest = 0.1;
+constexpr double NewestRequestWeight = 0.1;
 
 constexpr double SizeClassesInOctave = 2;
 
@@ -53,10 +53,11 @@
         return 0;
     }
     const Duration passed = now - demand.at;
-    const Duration past = std::max<Duration>(now - demand.since, options.leastPast);
-    return std::max(options.shortWeight
-                        * rateOf(decayed(demand.shortSum, passed, options.shortMemory), past, options.shortMemory),
-                    rateOf(decayed(demand.longSum, passed, options.longMemory), past, options.longMemory));
+    const Duration past = std::max<Duration>(now - demand.since, options.minRateWindow);
+    return std::max(
+        options.shortWeight
+            * rateOf(decayed(demand.shortSum, passed, options.shortTimeConstant), past, options.shortTimeConstant),
+        rateOf(decayed(demand.longSum, passed, options.longTimeConstant), past, options.longTimeConstant));
 }
 
 void add(const PrepaidOptions &options, RecentDemand &demand, Tokens tokens, TimePoint now)
@@ -66,16 +67,18 @@
         demand.at = now;
     }
     const Duration passed = now - demand.at;
-    demand.shortSum = decayed(demand.shortSum, passed, options.shortMemory) + static_cast<double>(tokens);
-    demand.longSum = decayed(demand.longSum, passed, options.longMemory) + static_cast<double>(tokens);
+    demand.shortSum = decayed(demand.shortSum, passed, options.shortTimeConstant) + static_cast<double>(tokens);
+    demand.longSum = decayed(demand.longSum, passed, options.longTimeConstant) + static_cast<double>(tokens);
     demand.at = now;
 }
 
-Tokens mostKept(const PrepaidShare &share, const CustomerId &customer)
+Tokens maxSmallRequestReserve(const PrepaidShare &share, const CustomerId &customer)
 {
     const ShareAccount *account = accountOf(share, customer);
     const bool bounded = account != nullptr && account->bounded;
-    return bounded ? static_cast<Tokens>(share.options.keepForSmallerPart * static_cast<double>(account->total)) : 0;
+    return bounded
+        ? static_cast<Tokens>(share.options.smallRequestReserveFraction * static_cast<double>(account->total))
+        : 0;
 }
 
 // What this router knows of the demand at all routers.
@@ -83,11 +86,11 @@
 {
     std::map<SizeClass, double> rates = demandBySize(share, customer, now);
     const ShareAccount *account = accountOf(share, customer);
-    for (const auto &[holder, held] : heldByOthers(share, customer)) {
+    for (const auto &[holder, held] : peerHoldingsOf(share, customer)) {
         for (const auto &[sizeClass, rate] : held.demandBySize) {
             // A home has been asked for this router's requests as well.
             double &known = rates[sizeClass];
-            known = account != nullptr && account->holdsAhead ? known + rate : std::max(known, rate);
+            known = account != nullptr && account->isHome ? known + rate : std::max(known, rate);
         }
     }
     return rates;
@@ -96,19 +99,19 @@
 // If requests may cease at any moment, with a mean of keepForSmaller until then, a token is better kept for a request
 // that is n times smaller as long as that one comes with a chance of over 1 / n: for keepForSmaller * ln(n). The size
 // that is still served then falls steadily with what is left, and a budget of requests of one size is used to its end.
-double keptFrom(const PrepaidShare &share,
-                const CustomerId &customer,
-                double size,
-                const std::map<SizeClass, double> &demandBySize)
+double smallRequestReserveFor(const PrepaidShare &share,
+                              const CustomerId &customer,
+                              double size,
+                              const std::map<SizeClass, double> &demandBySize)
 {
     const SizeClass ownClass = sizeClassOf(static_cast<Tokens>(size));
     double kept = 0;
     for (const auto &[sizeClass, rate] : demandBySize) {
         if (sizeClass < ownClass) {
-            kept += rate * toSeconds(share.options.keepForSmaller) * std::log(size / sizeOf(sizeClass));
+            kept += rate * toSeconds(share.options.smallRequestReserveTime) * std::log(size / sizeOf(sizeClass));
         }
     }
-    return std::min(kept, static_cast<double>(mostKept(share, customer)));
+    return std::min(kept, static_cast<double>(maxSmallRequestReserve(share, customer)));
 }
 
 void noteDemand(const PrepaidShare &share, ShareAccount &account, Tokens tokens, TimePoint now)
@@ -116,8 +119,8 @@
     add(share.options, account.demand, tokens, now);
     add(share.options, account.demandBySize[sizeClassOf(tokens)], tokens, now);
     // The first request counts in full.
-    const double newest = account.meanSize > 0 ? MeanSizeNewest : 1.0;
-    account.meanSize += newest * (static_cast<double>(tokens) - account.meanSize);
+    const double newest = account.meanRequestSize > 0 ? NewestRequestWeight : 1.0;
+    account.meanRequestSize += newest * (static_cast<double>(tokens) - account.meanRequestSize);
 }
 
 } // namespace
@@ -130,7 +133,7 @@
     return rateOf(share.options, account.demand, now);
 }
 
-Tokens tokensFor(const PrepaidShare &share, const ShareAccount &account, Duration time, TimePoint now)
+Tokens expectedDemand(const PrepaidShare &share, const ShareAccount &account, Duration time, TimePoint now)
 {
     return static_cast<Tokens>(demandNow(share, account, now) * toSeconds(time));
 }
@@ -138,11 +141,11 @@
 double admittedDemand(const PrepaidShare &share, const CustomerId &customer, TimePoint now)
 {
     const std::map<SizeClass, double> all = fleetDemandBySize(share, customer, now);
-    const auto remains = static_cast<double>(mayRemain(share, customer));
+    const auto remains = static_cast<double>(maxRemaining(share, customer));
     double sum = 0;
     for (const auto &[sizeClass, rate] : demandBySize(share, customer, now)) {
         const double size = sizeOf(sizeClass);
-        if (size + keptFrom(share, customer, size, all) <= remains) {
+        if (size + smallRequestReserveFor(share, customer, size, all) <= remains) {
             sum += rate;
         }
     }
@@ -155,7 +158,7 @@
 {
     if (ShareAccount *account = boundedAccount(share, customer)) {
         noteDemand(share, *account, tokens, now);
-        share.askedFor.insert(customer);
+        share.activeCustomers.insert(customer);
     }
 }
 
@@ -181,26 +184,26 @@
     return rates;
 }
 
-void forgetSizes(PrepaidShare &share, const CustomerId &customer)
+void clearDemandBySize(PrepaidShare &share, const CustomerId &customer)
 {
     if (ShareAccount *account = boundedAccount(share, customer)) {
         account->demandBySize.clear();
     }
 }
 
-Tokens keptForSmaller(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now)
+Tokens smallRequestReserve(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now)
 {
     return static_cast<Tokens>(
-        keptFrom(share, customer, static_cast<double>(tokens), fleetDemandBySize(share, customer, now)));
+        smallRequestReserveFor(share, customer, static_cast<double>(tokens), fleetDemandBySize(share, customer, now)));
 }
 
-bool mustLeaveToSmaller(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now)
+bool wouldUseSmallRequestReserve(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now)
 {
-    const Tokens remains = mayRemain(share, customer);
-    if (remains >= tokens + mostKept(share, customer)) {
+    const Tokens remains = maxRemaining(share, customer);
+    if (remains >= tokens + maxSmallRequestReserve(share, customer)) {
         return false;
     }
-    const Tokens kept = keptForSmaller(share, customer, tokens, now);
+    const Tokens kept = smallRequestReserve(share, customer, tokens, now);
     return kept > 0 && remains < tokens + kept;
 }
 
--- a/godwit/prepaid/share_internal.h
+++ b/godwit/prepaid/share_internal.h
@@ -23,7 +23,7 @@
 ShareAccount *boundedAccount(PrepaidShare &share, const CustomerId &customer);
 
 // What other routers have lately said that they hold of the customer's budget; empty when none has.
-const std::map<HolderId, HeldElsewhere> &heldByOthers(const PrepaidShare &share, const CustomerId &customer);
+const std::map<HolderId, PeerHolding> &peerHoldingsOf(const PrepaidShare &share, const CustomerId &customer);
 
 // Used, sent and reserved: what the account has gone to of its limit.
 Tokens committed(const ShareAccount &account);
@@ -39,7 +39,7 @@
 double admittedDemand(const PrepaidShare &share, const CustomerId &customer, TimePoint now);
 
 // What the customer would ask for here in `time`.
-Tokens tokensFor(const PrepaidShare &share, const ShareAccount &account, Duration time, TimePoint now);
+Tokens expectedDemand(const PrepaidShare &share, const ShareAccount &account, Duration time, TimePoint now);
 
 // What `ledger` grants to `holder`; 0 when it grants nothing.
 Tokens grantedTo(const PrepaidLedger &ledger, const CustomerId &customer, const HolderId &holder);
@@ -47,22 +47,25 @@
 // The account's grant, less what this router gives back where more is out than the total allows (`room` below 0): all
 // that it can, since what others have used of theirs is not known here. Until the grants have gone back in a write,
 // what is over the total is not spent either.
-Tokens grantWithin(const ShareAccount &account, Tokens room);
+Tokens grantWithin(const ShareAccount &account, Tokens unallocated);
 
 // The grant to ask for: enough for a time without the platform, a fair part of a scarce room, and always what a
 // waiting request lacks.
-Tokens wantedGrant(
-    const PrepaidShare &share, const CustomerId &customer, const ShareAccount &account, Tokens room, TimePoint now);
+Tokens targetGrant(const PrepaidShare &share,
+                   const CustomerId &customer,
+                   const ShareAccount &account,
+                   Tokens unallocated,
+                   TimePoint now);
 
 // The mark to write along with a grant of `granted`.
-Mark wantedMark(
+Mark targetMark(
     const PrepaidShare &share, const CustomerId &customer, const ShareAccount &account, Tokens granted, TimePoint now);
 
 // Whether the mark in force leaves too little for the demand or for a request that waits, and a new one could help.
 bool markIsLow(const PrepaidShare &share, const CustomerId &customer, const ShareAccount &account, TimePoint now);
 
 // The shortest time that one of the marks binds, of those that let their router go somewhere; 0 when none does.
-std::chrono::milliseconds shortestBinds(const MarkRecord &record);
+std::chrono::milliseconds shortestFixedPeriod(const MarkRecord &record);
 
 // Forgets the open write, or the plan of one that isn't due.
 void clearPending(PrepaidShare &share);
--- a/godwit/prepaid/share_records.cpp
+++ b/godwit/prepaid/share_records.cpp
@@ -13,12 +13,12 @@
 using internal::clearPending;
 using internal::grantedTo;
 using internal::grantWithin;
-using internal::shortestBinds;
+using internal::shortestFixedPeriod;
 
 namespace
 {
 
-std::chrono::milliseconds apart(std::chrono::milliseconds a, std::chrono::milliseconds b)
+std::chrono::milliseconds absoluteDifference(std::chrono::milliseconds a, std::chrono::milliseconds b)
 {
     return a > b ? a - b : b - a;
 }
@@ -28,7 +28,7 @@
 // The time of day may have been stepped, and the step taken back since. So the mark has its time in two ways: by the
 // time of day when it was written, and by the one that its writer started with. A step before the mark is in only one
 // of them, so that the greater age is not too small; after a step back the writer itself went by the time of day.
-std::optional<std::chrono::milliseconds> ageAtStart(const PrepaidOptions &options, const MarkRecord &mark)
+std::optional<std::chrono::milliseconds> markAgeAtStart(const PrepaidOptions &options, const MarkRecord &mark)
 {
     using std::chrono::milliseconds;
     const HostTime &started = options.startedAt;
@@ -36,10 +36,11 @@
     const milliseconds uptime = started.uptime - written.uptime;
     const milliseconds byDay = started.wall - written.wall;
     const milliseconds bySteadyDay = started.wall - mark.steadyWall;
-    const milliseconds difference = std::min(apart(uptime, byDay), apart(uptime, bySteadyDay));
+    const milliseconds difference =
+        std::min(absoluteDifference(uptime, byDay), absoluteDifference(uptime, bySteadyDay));
     const bool sameBoot = started.boot == written.boot && uptime >= milliseconds(0);
     if (sameBoot && difference <= options.clockAgreement) {
-        return uptime + options.markCaution;
+        return uptime + options.markAgeMargin;
     }
     // Where each process has an uptime of its own, or after a restart of the host, the time of day has to do.
     milliseconds age = std::max(byDay, bySteadyDay);
@@ -49,10 +50,10 @@
     if (sameBoot && difference <= options.clockTolerance) {
         age = std::max(age, uptime);
     }
-    return age + options.markCaution;
+    return age + options.markAgeMargin;
 }
 
-bool holdsAnyOf(const PrepaidLedger &ledger, const HolderId &holder)
+bool hasAnyGrant(const PrepaidLedger &ledger, const HolderId &holder)
 {
     return std::any_of(ledger.accounts.begin(), ledger.accounts.end(), [&holder](const auto &entry) {
         return entry.second.granted.count(holder) != 0;
@@ -60,9 +61,9 @@
 }
 
 // Charges what an earlier process on this host may have used and gives the rest of its grant back.
-void takeOver(PrepaidShare &share, PrepaidLedger &ledger, const std::optional<MarkRecord> &mark)
+void settlePredecessor(PrepaidShare &share, PrepaidLedger &ledger, const std::optional<MarkRecord> &mark)
 {
-    share.foundMarkAge = mark ? ageAtStart(share.options, *mark) : std::nullopt;
+    share.predecessorMarkAge = mark ? markAgeAtStart(share.options, *mark) : std::nullopt;
     for (auto &[customer, account] : ledger.accounts) {
         const auto held = account.granted.find(share.options.self);
         if (held == account.granted.end()) {
@@ -73,8 +74,9 @@
         if (mark) {
             const auto entry = mark->marks.find(customer);
             const Mark found = entry == mark->marks.end() ? Mark{} : entry->second;
-            const Tokens reach = share.foundMarkAge ? reachOf(found, *share.foundMarkAge) : furthestReachOf(found);
-            charge = std::min(charge, reach);
+            const Tokens limit =
+                share.predecessorMarkAge ? limitAtAge(found, *share.predecessorMarkAge) : maxLimitOf(found);
+            charge = std::min(charge, limit);
             // It had used this much when it wrote the mark, and may have received tokens since.
             unsure = charge - std::min(charge, found.used);
         }
@@ -85,7 +87,7 @@
 }
 
 // The room as the newer of document and ledger gives the total.
-Tokens roomUnder(const PrepaidShare &share, const PrepaidLedger &ledger, const CustomerId &customer)
+Tokens unallocatedUnderNewestTotal(const PrepaidShare &share, const PrepaidLedger &ledger, const CustomerId &customer)
 {
     const auto entry = ledger.accounts.find(customer);
     const ShareAccount *own = accountOf(share, customer);
@@ -94,7 +96,7 @@
     }
     const bool ledgerNewer = ledger.documentVersion > share.documentVersion;
     const Tokens total = ledgerNewer ? entry->second.total : own->total;
-    return roomOf(entry->second) - entry->second.total + total;
+    return unallocatedTokens(entry->second) - entry->second.total + total;
 }
 
 } // namespace
@@ -108,26 +110,26 @@
     const bool ownMark = mark && mark->writer == share.options.incarnation;
     // Giving back once more would return tokens that others sent a second time, to be spent twice.
     share.returned = share.returned || (ownMark && mark->returned);
-    share.takenOver = share.takenOver || ownMark;
+    share.predecessorSettled = share.predecessorSettled || ownMark;
     const bool nothingLeft = !mark || mark->returned;
-    if (!share.takenOver && nothingLeft && !holdsAnyOf(ledger, share.options.self)) {
+    if (!share.predecessorSettled && nothingLeft && !hasAnyGrant(ledger, share.options.self)) {
         // Nothing to take over, so that nothing has to be written before this process counts as ready.
-        share.takenOver = true;
+        share.predecessorSettled = true;
     }
-    if (!share.takenOver) {
-        takeOver(share, ledger, mark);
+    if (!share.predecessorSettled) {
+        settlePredecessor(share, ledger, mark);
     } else {
         if (mark && share.markWrittenAt.wall.count() == 0) {
             // An earlier process's write has landed after this one's first reading. A successor will go by its mark.
             share.markWrittenAt = mark->writtenAt;
-            share.shortestBinds = shortestBinds(*mark);
+            share.shortestFixedPeriod = shortestFixedPeriod(*mark);
             share.markAge = std::chrono::milliseconds(0);
         }
         // What an unanswered write did shows here.
         for (auto &[customer, account] : share.accounts) {
             account.granted = grantedTo(ledger, customer, share.options.self);
             account.mark = mark && mark->marks.count(customer) != 0 ? mark->marks.at(customer) : Mark{};
-            account.granted = grantWithin(account, roomUnder(share, ledger, customer));
+            account.granted = grantWithin(account, unallocatedUnderNewestTotal(share, ledger, customer));
         }
     }
     share.ledger = std::move(ledger);
@@ -137,11 +139,11 @@
     clearPending(share);
 }
 
-void onLedgerHeard(PrepaidShare &share, PrepaidLedger ledger, std::uint64_t ledgerRevision)
+void onLedgerUpdate(PrepaidShare &share, PrepaidLedger ledger, std::uint64_t ledgerRevision)
 {
     // While a write is open its condition decides; while the records are in doubt they have to be read. Before the
     // first write of this process its own copy has what its predecessor is charged, which would be lost.
-    if (!share.takenOver || share.writing || !share.ledgerKnown || ledgerRevision <= share.ledgerRevision) {
+    if (!share.predecessorSettled || share.writing || !share.ledgerKnown || ledgerRevision <= share.ledgerRevision) {
         return;
     }
     share.ledger = std::move(ledger);
--- a/godwit/prepaid/share_writes.cpp
+++ b/godwit/prepaid/share_writes.cpp
@@ -14,9 +14,9 @@
 using internal::committed;
 using internal::grantedTo;
 using internal::markIsLow;
-using internal::shortestBinds;
-using internal::wantedGrant;
-using internal::wantedMark;
+using internal::shortestFixedPeriod;
+using internal::targetGrant;
+using internal::targetMark;
 
 namespace
 {
@@ -50,8 +50,8 @@
     const auto [entry, isNew] = bounds.emplace(customer, bound);
     if (!isNew) {
         entry->second.limit = std::min(entry->second.limit, bound.limit);
-        entry->second.perSecond = std::min(entry->second.perSecond, bound.perSecond);
-        entry->second.binds = std::max(entry->second.binds, bound.binds);
+        entry->second.growthPerSecond = std::min(entry->second.growthPerSecond, bound.growthPerSecond);
+        entry->second.fixedPeriod = std::max(entry->second.fixedPeriod, bound.fixedPeriod);
     }
 }
 
@@ -81,12 +81,12 @@
     return held == entry->second.granted.end() ? 0 : held->second;
 }
 
-std::chrono::milliseconds shortestBinds(const MarkRecord &record)
+std::chrono::milliseconds shortestFixedPeriod(const MarkRecord &record)
 {
     std::optional<std::chrono::milliseconds> shortest;
     for (const auto &[customer, mark] : record.marks) {
         if (mark.limit > mark.used) {
-            shortest = shortest ? std::min(*shortest, mark.binds) : mark.binds;
+            shortest = shortest ? std::min(*shortest, mark.fixedPeriod) : mark.fixedPeriod;
         }
     }
     return shortest.value_or(std::chrono::milliseconds(0));
@@ -102,14 +102,14 @@
 
 } // namespace internal
 
-bool checkMarks(PrepaidShare &share, const HostTime &hostTime)
+bool updateMarkAge(PrepaidShare &share, const HostTime &hostTime)
 {
     const HostTime &written = share.markWrittenAt;
     // By both clocks: a successor may have only the time of day to go by, and that may have been set back.
     share.markAge = std::max(std::chrono::milliseconds(0),
                              std::min(hostTime.uptime - written.uptime, hostTime.wall - written.wall));
-    share.marksBind = written.wall.count() > 0 && share.markAge < share.shortestBinds;
-    return !share.marksBind;
+    share.markLimitsFixed = written.wall.count() > 0 && share.markAge < share.shortestFixedPeriod;
+    return !share.markLimitsFixed;
 }
 
 std::optional<ShareWrite> planWrite(PrepaidShare &share, TimePoint now, const HostTime &hostTime)
@@ -124,23 +124,23 @@
     mark.writtenAt = hostTime;
     const HostTime &started = share.options.startedAt;
     mark.steadyWall = started.wall + (hostTime.uptime - started.uptime);
-    bool ledgerChanges = !share.takenOver || ledger.documentVersion != share.ledger.documentVersion;
+    bool ledgerChanges = !share.predecessorSettled || ledger.documentVersion != share.ledger.documentVersion;
     const std::chrono::milliseconds refresh(
-        std::llround(static_cast<double>(share.shortestBinds.count()) * share.options.markRefreshPart));
-    const bool markIsOld = !share.marksBind || hostTime.uptime >= share.markWrittenAt.uptime + refresh;
+        std::llround(static_cast<double>(share.shortestFixedPeriod.count()) * share.options.markRefreshFraction));
+    const bool markIsOld = !share.markLimitsFixed || hostTime.uptime >= share.markWrittenAt.uptime + refresh;
     bool markLow = markIsOld;
-    bool urgent = !share.takenOver;
-    bool markSuffices = share.takenOver;
+    bool urgent = !share.predecessorSettled;
+    bool markSuffices = share.predecessorSettled;
     bool anyWaits = false;
-    bool holdsAny = !share.takenOver;
+    bool holdsAny = !share.predecessorSettled;
     for (auto &[customer, account] : share.accounts) {
         if (!account.bounded) {
             continue;
         }
         LedgerAccount &entry = ledger.accounts[customer];
-        const Tokens heldBefore = grantedTo(ledger, customer, share.options.self);
+        const Tokens grantedBefore = grantedTo(ledger, customer, share.options.self);
         entry.granted[share.options.self] = account.granted;
-        const Tokens granted = wantedGrant(share, customer, account, roomOf(entry), now);
+        const Tokens granted = targetGrant(share, customer, account, unallocatedTokens(entry), now);
         entry.granted[share.options.self] = granted;
         if (granted == 0) {
             entry.granted.erase(share.options.self);
@@ -149,20 +149,20 @@
         holdsAny = holdsAny || granted > std::max<Tokens>(0, committed(account));
         const bool low = markIsLow(share, customer, account, now);
         // A waiting request is a reason to hurry only if the write can help it.
-        const bool markHelps = account.shortOf > 0 && low && account.shortOf <= unusedGrant(share, customer);
-        urgent = urgent || markHelps || (account.shortOf > 0 && granted > account.granted);
-        markSuffices = markSuffices && (account.shortOf == 0 || markHelps);
-        anyWaits = anyWaits || account.shortOf > 0;
-        ledgerChanges = ledgerChanges || granted != heldBefore;
+        const bool markHelps = account.shortfall > 0 && low && account.shortfall <= unusedGrant(share, customer);
+        urgent = urgent || markHelps || (account.shortfall > 0 && granted > account.granted);
+        markSuffices = markSuffices && (account.shortfall == 0 || markHelps);
+        anyWaits = anyWaits || account.shortfall > 0;
+        ledgerChanges = ledgerChanges || granted != grantedBefore;
         markLow = markLow || low;
         share.pendingGrants[customer] = granted;
-        mark.marks[customer] = wantedMark(share, customer, account, granted, now);
-        account.shortOf = 0;
+        mark.marks[customer] = targetMark(share, customer, account, granted, now);
+        account.shortfall = 0;
     }
     share.pendingMarks = mark.marks;
     // The mark is this router's own, so that its write is never refused because another router was faster. Where the
     // ledger is contended a mark that is overdue goes first: it would grow old, and with it what a death costs.
-    const bool markOverdue = share.takenOver && share.ledgerContended && markIsOld;
+    const bool markOverdue = share.predecessorSettled && share.ledgerContended && markIsOld;
     if ((anyWaits && markSuffices) || (ledgerChanges && markOverdue)) {
         ledgerChanges = false;
         // The ledger's turn is next, whatever else is due.
@@ -174,7 +174,7 @@
     markLow = markLow && holdsAny;
     const Duration usual = Duration(markInterval(share)) * 9 / 10;
     const Duration interval = urgent ? share.options.urgentInterval : usual;
-    if ((!ledgerChanges && !markLow) || (share.takenOver && now - share.lastWriteAt < interval)) {
+    if ((!ledgerChanges && !markLow) || (share.predecessorSettled && now - share.lastWriteAt < interval)) {
         clearPending(share);
         return std::nullopt;
     }
@@ -188,18 +188,18 @@
     share.pendingLedger = std::move(ledger);
     share.pendingWritesLedger = ledgerChanges;
     share.writing = true;
-    share.lastWriteBefore = std::exchange(share.lastWriteAt, now);
-    share.markWrittenBefore = share.markWrittenAt;
+    share.previousWriteAt = std::exchange(share.lastWriteAt, now);
+    share.previousMarkWrittenAt = share.markWrittenAt;
     share.markWrittenAt = hostTime;
     share.markAge = std::chrono::milliseconds(0);
-    share.shortestBinds = shortestBinds(mark);
-    share.marksBind = true;
+    share.shortestFixedPeriod = shortestFixedPeriod(mark);
+    share.markLimitsFixed = true;
     return write;
 }
 
 std::optional<ShareWrite> planReturn(PrepaidShare &share, TimePoint now)
 {
-    if (share.writing || !share.ledgerKnown || share.returned || !share.takenOver) {
+    if (share.writing || !share.ledgerKnown || share.returned || !share.predecessorSettled) {
         return std::nullopt;
     }
     PrepaidLedger ledger = share.ledger;
@@ -224,16 +224,16 @@
     share.pendingLedger = std::move(ledger);
     share.pendingWritesLedger = true;
     share.writing = true;
-    share.lastWasReturn = true;
+    share.lastWriteWasReturn = true;
     // If it is refused, the mark that stands is as old as it was.
-    share.markWrittenBefore = share.markWrittenAt;
-    share.lastWriteBefore = std::exchange(share.lastWriteAt, now);
+    share.previousMarkWrittenAt = share.markWrittenAt;
+    share.previousWriteAt = std::exchange(share.lastWriteAt, now);
     return write;
 }
 
 void onWriteDone(PrepaidShare &share, std::uint64_t revision)
 {
-    if (share.lastWasReturn) {
+    if (share.lastWriteWasReturn) {
         share.returned = true;
         clearPending(share);
         return;
@@ -252,35 +252,35 @@
         share.ledgerRevision = revision;
     }
     share.markRevision = revision;
-    share.takenOver = true;
-    share.doubtfulGrants.clear();
-    share.doubtfulMarks.clear();
+    share.predecessorSettled = true;
+    share.uncertainGrants.clear();
+    share.uncertainMarks.clear();
     clearPending(share);
 }
 
 void onWriteRefused(PrepaidShare &share, bool conditionFailed)
 {
-    share.markWrittenAt = share.markWrittenBefore;
+    share.markWrittenAt = share.previousMarkWrittenAt;
     if (conditionFailed) {
         // What stands is known now: the next try need not wait.
-        share.lastWriteAt = share.lastWriteBefore;
+        share.lastWriteAt = share.previousWriteAt;
     }
     share.ledgerContended = share.ledgerContended || (conditionFailed && share.pendingWritesLedger);
     share.ledgerKnown = share.ledgerKnown && !conditionFailed;
-    share.lastWasReturn = false;
+    share.lastWriteWasReturn = false;
     clearPending(share);
 }
 
 void onWriteUnknown(PrepaidShare &share)
 {
     for (const auto &[customer, granted] : share.pendingGrants) {
-        lowerTo(share.doubtfulGrants, customer, granted);
+        lowerTo(share.uncertainGrants, customer, granted);
     }
     for (const auto &[customer, mark] : share.pendingMarks) {
-        lowerTo(share.doubtfulMarks, customer, mark);
+        lowerTo(share.uncertainMarks, customer, mark);
     }
     share.ledgerKnown = false;
-    share.lastWasReturn = false;
+    share.lastWriteWasReturn = false;
     clearPending(share);
 }
 
--- a/godwit/prepaid/testing_world.cpp
+++ b/godwit/prepaid/testing_simulation.cpp
@@ -1,4 +1,4 @@
-#include "godwit/prepaid/testing_world.h"
+#include "godwit/prepaid/testing_simulation.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 } // namespace
 
-World::World(std::size_t routers, std::map<CustomerId, Tokens> totals)
+PrepaidSimulation::PrepaidSimulation(std::size_t routers, std::map<CustomerId, Tokens> totals)
     : m_totals(std::move(totals))
     , m_routers(routers)
     , m_marks(routers)
@@ -28,22 +28,22 @@
     }
 }
 
-void World::advance(Duration time)
+void PrepaidSimulation::advance(Duration time)
 {
     m_now += time;
     for (std::size_t i = 0; i < m_routers.size(); ++i) {
         if (m_routers[i].share) {
-            checkMarks(*m_routers[i].share, hostTime(i));
+            updateMarkAge(*m_routers[i].share, hostTime(i));
         }
     }
 }
 
-void World::stepClock(std::chrono::milliseconds by)
+void PrepaidSimulation::stepClock(std::chrono::milliseconds by)
 {
     m_wallOffset += by;
 }
 
-void World::start(std::size_t index)
+void PrepaidSimulation::start(std::size_t index)
 {
     Router &router = m_routers[index];
     if (router.share) {
@@ -52,10 +52,10 @@
     ++router.starts;
     router.share = makePrepaidShare(optionsOf(index, router.starts, hostTime(index)));
     router.share->markWriters = static_cast<int>(m_routers.size());
-    applyTotals(*router.share, m_documentVersion, totalsAsGiven());
+    applyTotals(*router.share, m_documentVersion, documentTotals());
 }
 
-void World::kill(std::size_t index)
+void PrepaidSimulation::kill(std::size_t index)
 {
     Router &router = m_routers[index];
     for (const Reservation &reservation : router.open) {
@@ -65,13 +65,13 @@
     router.share.reset();
 }
 
-void World::losePower(std::size_t index)
+void PrepaidSimulation::losePower(std::size_t index)
 {
     kill(index);
     m_routers[index].uptimeOffset += std::chrono::hours(1);
 }
 
-void World::sync(std::size_t index, WriteFate fate)
+void PrepaidSimulation::sync(std::size_t index, WriteOutcome outcome)
 {
     Router &router = m_routers[index];
     if (!router.share) {
@@ -82,52 +82,52 @@
     }
     const auto write = planWrite(*router.share, m_now, hostTime(index));
     if (write) {
-        carryOut(index, *write, fate);
+        performWrite(index, *write, outcome);
     }
 }
 
-void World::carryOut(std::size_t index, const ShareWrite &write, WriteFate fate)
+void PrepaidSimulation::performWrite(std::size_t index, const ShareWrite &write, WriteOutcome outcome)
 {
     PrepaidShare &share = *m_routers[index].share;
-    if (fate == WriteFate::Refused) {
+    if (outcome == WriteOutcome::Refused) {
         onWriteRefused(share, false);
         return;
     }
-    if (fate == WriteFate::Late) {
+    if (outcome == WriteOutcome::Late) {
         m_late.push_back({index, write});
         onWriteUnknown(share);
         return;
     }
     const auto revision = apply(index, write);
-    if (fate == WriteFate::AnswerLost) {
+    if (outcome == WriteOutcome::AnswerLost) {
         onWriteUnknown(share);
     } else if (revision) {
         onWriteDone(share, *revision);
-        tellLedger(index, write, *revision);
+        broadcastLedger(index, write, *revision);
     } else {
         onWriteRefused(share, true);
     }
 }
 
 // As over links that lose nothing.
-void World::tellLedger(std::size_t writer, const ShareWrite &write, std::uint64_t revision)
+void PrepaidSimulation::broadcastLedger(std::size_t writer, const ShareWrite &write, std::uint64_t revision)
 {
     LastReason reason;
-    for (std::size_t i = 0; write.ledger && m_ledgerIsTold && i < m_routers.size(); ++i) {
+    for (std::size_t i = 0; write.ledger && m_ledgerBroadcast && i < m_routers.size(); ++i) {
         if (i != writer && m_routers[i].share) {
-            onLedgerHeard(*m_routers[i].share, decodePrepaidLedger(*write.ledger, reason).value(), revision);
+            onLedgerUpdate(*m_routers[i].share, decodePrepaidLedger(*write.ledger, reason).value(), revision);
         }
     }
 }
 
-void World::doLateWrites()
+void PrepaidSimulation::applyLateWrites()
 {
     for (const LateWrite &late : std::exchange(m_late, {})) {
         apply(late.router, late.write);
     }
 }
 
-bool World::giveBack(std::size_t index, WriteFate fate)
+bool PrepaidSimulation::returnGrants(std::size_t index, WriteOutcome outcome)
 {
     Router &router = m_routers[index];
     while (router.share && !router.open.empty()) {
@@ -140,12 +140,12 @@
         readRecords(index);
     }
     if (const auto write = planReturn(*router.share, m_now)) {
-        carryOut(index, *write, fate);
+        performWrite(index, *write, outcome);
     }
     return router.share->returned;
 }
 
-bool World::request(std::size_t index, const CustomerId &customer, Tokens tokens)
+bool PrepaidSimulation::request(std::size_t index, const CustomerId &customer, Tokens tokens)
 {
     Router &router = m_routers[index];
     if (!router.share) {
@@ -153,14 +153,14 @@
     }
     noteRequest(*router.share, customer, tokens, m_now);
     if (!reserve(*router.share, customer, tokens)) {
-        wantMore(*router.share, customer, tokens);
+        noteShortfall(*router.share, customer, tokens);
         return false;
     }
     router.open.push_back({customer, tokens});
     return true;
 }
 
-void World::finish(std::size_t index, Tokens used)
+void PrepaidSimulation::finish(std::size_t index, Tokens used)
 {
     Router &router = m_routers[index];
     if (!router.share || router.open.empty()) {
@@ -173,64 +173,66 @@
     m_spent[reservation.customer] += counted;
 }
 
-void World::trade(
-    std::size_t from, std::size_t to, const CustomerId &customer, Tokens wanted, bool lost, Tokens lacking)
+void PrepaidSimulation::moveTokens(
+    std::size_t from, std::size_t to, const CustomerId &customer, Tokens wanted, bool lost, Tokens shortfall)
 {
     if (from == to || !m_routers[from].share || !m_routers[to].share) {
         return;
     }
-    const TokenWish wish{lacking, wanted};
-    const Tokens amount = sendTokens(*m_routers[from].share, customer, wish, m_now);
+    const TokenDemand demand{shortfall, wanted};
+    const Tokens amount = sendTokens(*m_routers[from].share, customer, demand, m_now);
     if (!lost) {
         receiveTokens(*m_routers[to].share, customer, amount);
     }
 }
 
-void World::ask(std::size_t from, std::size_t to, const CustomerId &customer, Tokens needed, bool lost)
+void PrepaidSimulation::requestTokens(
+    std::size_t from, std::size_t to, const CustomerId &customer, Tokens needed, bool lost)
 {
     if (from == to || !m_routers[from].share || !m_routers[to].share) {
         return;
     }
-    TokenAsk ask{m_routers[to].share->options.self, customer, needed, m_now + std::chrono::milliseconds(150)};
-    const auto gift = askTokens(*m_routers[from].share, std::move(ask));
-    if (gift && !lost) {
-        deliver(*gift);
+    TransferRequest transferRequest{
+        m_routers[to].share->options.self, customer, needed, m_now + std::chrono::milliseconds(150)};
+    const auto transfer = requestTransfer(*m_routers[from].share, std::move(transferRequest));
+    if (transfer && !lost) {
+        deliver(*transfer);
     }
 }
 
-void World::serveAsks(std::size_t from, bool lost)
+void PrepaidSimulation::serveTransferRequests(std::size_t from, bool lost)
 {
     if (!m_routers[from].share) {
         return;
     }
-    for (const TokenGift &gift : Godwit::serveAsks(*m_routers[from].share, m_now)) {
+    for (const TokenTransfer &transfer : Godwit::serveTransferRequests(*m_routers[from].share, m_now)) {
         if (!lost) {
-            deliver(gift);
+            deliver(transfer);
         }
     }
 }
 
-void World::deliver(const TokenGift &gift)
+void PrepaidSimulation::deliver(const TokenTransfer &transfer)
 {
     for (Router &router : m_routers) {
-        if (router.share && router.share->options.self == gift.to) {
-            receiveTokens(*router.share, gift.customer, gift.amount);
+        if (router.share && router.share->options.self == transfer.to) {
+            receiveTokens(*router.share, transfer.customer, transfer.amount);
         }
     }
 }
 
-void World::setTotal(const CustomerId &customer, Tokens total)
+void PrepaidSimulation::setTotal(const CustomerId &customer, Tokens total)
 {
     m_totals[customer] = total;
     ++m_documentVersion;
     for (Router &router : m_routers) {
         if (router.share) {
-            applyTotals(*router.share, m_documentVersion, totalsAsGiven());
+            applyTotals(*router.share, m_documentVersion, documentTotals());
         }
     }
 }
 
-Tokens World::spent(const CustomerId &customer) const
+Tokens PrepaidSimulation::spent(const CustomerId &customer) const
 {
     const auto found = m_spent.find(customer);
     Tokens sum = found == m_spent.end() ? 0 : found->second;
@@ -242,24 +244,24 @@
     return sum;
 }
 
-PrepaidShare &World::share(std::size_t router)
+PrepaidShare &PrepaidSimulation::share(std::size_t router)
 {
     return *m_routers[router].share;
 }
 
-bool World::isAlive(std::size_t router) const
+bool PrepaidSimulation::isAlive(std::size_t router) const
 {
     return m_routers[router].share.has_value();
 }
 
-HostTime World::hostTime(std::size_t index) const
+HostTime PrepaidSimulation::hostTime(std::size_t index) const
 {
     const auto time = std::chrono::duration_cast<std::chrono::milliseconds>(m_now.time_since_epoch());
     const std::chrono::milliseconds uptime = time + m_routers[index].uptimeOffset;
     return HostTime{uptime, time + m_wallOffset, "boot"};
 }
 
-std::map<CustomerId, std::optional<Tokens>> World::totalsAsGiven() const
+std::map<CustomerId, std::optional<Tokens>> PrepaidSimulation::documentTotals() const
 {
     std::map<CustomerId, std::optional<Tokens>> totals;
     for (const auto &[customer, total] : m_totals) {
@@ -268,7 +270,7 @@
     return totals;
 }
 
-void World::readRecords(std::size_t index)
+void PrepaidSimulation::readRecords(std::size_t index)
 {
     LastReason reason;
     PrepaidLedger ledger;
@@ -282,7 +284,7 @@
     onRecordsRead(*m_routers[index].share, std::move(ledger), m_ledger.revision, mark, m_marks[index].revision);
 }
 
-std::optional<std::uint64_t> World::apply(std::size_t index, const ShareWrite &write)
+std::optional<std::uint64_t> PrepaidSimulation::apply(std::size_t index, const ShareWrite &write)
 {
     const bool ledgerHolds = !write.ledger || write.ledgerRevision == m_ledger.revision;
     if (!ledgerHolds || write.markRevision != m_marks[index].revision) {
--- a/godwit/prepaid/testing_world.h
+++ b/godwit/prepaid/testing_simulation.h
@@ -22,7 +22,7 @@
 {
 
 // What becomes of one write.
-enum class WriteFate {
+enum class WriteOutcome {
     Done,
     Refused, // The store did nothing and said so.
     AnswerLost, // Done, and the router hears nothing.
@@ -55,10 +55,10 @@
     std::chrono::milliseconds uptimeOffset{}; // Changes with each restart of its host.
 };
 
-class World
+class PrepaidSimulation
 {
 public:
-    World(std::size_t routers, std::map<CustomerId, Tokens> totals);
+    PrepaidSimulation(std::size_t routers, std::map<CustomerId, Tokens> totals);
 
     void advance(Duration time);
     // The time of day of all hosts jumps; the uptime goes on.
@@ -71,25 +71,25 @@
     void losePower(std::size_t router);
 
     // Reads, plans and writes once, if the router has something to write.
-    void sync(std::size_t router, WriteFate fate);
-    void doLateWrites();
+    void sync(std::size_t router, WriteOutcome outcome);
+    void applyLateWrites();
     // Gives all back, as at a planned stop. Open requests end first. Returns whether the router knows that it has.
-    bool giveBack(std::size_t router, WriteFate fate = WriteFate::Done);
+    bool returnGrants(std::size_t router, WriteOutcome outcome = WriteOutcome::Done);
 
     bool request(std::size_t router, const CustomerId &customer, Tokens tokens);
     // Ends the oldest open request; `used` is cut to what was reserved.
     void finish(std::size_t router, Tokens used);
     // `lost`: the message never arrives. `lacking`: of the wanted ones, what a waiting request needs.
-    void trade(
-        std::size_t from, std::size_t to, const CustomerId &customer, Tokens wanted, bool lost, Tokens lacking = 0);
+    void moveTokens(
+        std::size_t from, std::size_t to, const CustomerId &customer, Tokens wanted, bool lost, Tokens shortfall = 0);
     // Router `to` asks `from` for what a request needs; the wish waits there if it must. `lost`: the gift never
     // arrives.
-    void ask(std::size_t from, std::size_t to, const CustomerId &customer, Tokens needed, bool lost);
-    void serveAsks(std::size_t from, bool lost);
+    void requestTokens(std::size_t from, std::size_t to, const CustomerId &customer, Tokens needed, bool lost);
+    void serveTransferRequests(std::size_t from, bool lost);
     // Whether routers tell each other the ledger that they have written; at first they don't.
-    void setLedgerIsTold(bool told)
+    void setLedgerBroadcast(bool enabled)
     {
-        m_ledgerIsTold = told;
+        m_ledgerBroadcast = enabled;
     }
 
     void setTotal(const CustomerId &customer, Tokens total);
@@ -105,11 +105,11 @@
     HostTime hostTime(std::size_t router) const;
 
 private:
-    std::map<CustomerId, std::optional<Tokens>> totalsAsGiven() const;
+    std::map<CustomerId, std::optional<Tokens>> documentTotals() const;
     void readRecords(std::size_t router);
-    void deliver(const TokenGift &gift);
-    void tellLedger(std::size_t writer, const ShareWrite &write, std::uint64_t revision);
-    void carryOut(std::size_t index, const ShareWrite &write, WriteFate fate);
+    void deliver(const TokenTransfer &transfer);
+    void broadcastLedger(std::size_t writer, const ShareWrite &write, std::uint64_t revision);
+    void performWrite(std::size_t index, const ShareWrite &write, WriteOutcome outcome);
     std::optional<std::uint64_t> apply(std::size_t router, const ShareWrite &write);
 
     std::map<CustomerId, Tokens> m_totals;
@@ -118,7 +118,7 @@
     StoredValue m_ledger;
     std::vector<StoredValue> m_marks;
     std::uint64_t m_revision = 0;
-    bool m_ledgerIsTold = false;
+    bool m_ledgerBroadcast = false;
     std::deque<LateWrite> m_late;
     std::map<CustomerId, Tokens> m_spent;
     TimePoint m_now{std::chrono::seconds(100)};
--- a/godwit/prepaid/testing_desk.h
+++ b/godwit/prepaid/testing_single_customer.h
@@ -7,28 +7,28 @@
 //   serve(world, 0, 40, 1000);
 //   CHECK(deskAt(world, 0).net == 40'000);
 
-#include "godwit/prepaid/testing_world.h"
+#include "godwit/prepaid/testing_simulation.h"
 
 namespace Godwit::Testing
 {
 
-inline const CustomerId Desk{"desk"};
+inline const CustomerId TestCustomer{"desk"};
 constexpr Tokens Total = 1'000'000;
 // A router's usual time between two writes, and some more.
-constexpr auto Beat = std::chrono::milliseconds(500);
+constexpr auto WriteInterval = std::chrono::milliseconds(500);
 
 // Desk has `total` tokens, and each router in turn has written once.
-World openedWorld(std::size_t routers, Tokens total = Total);
+PrepaidSimulation startedSimulation(std::size_t routers, Tokens total = Total);
 
 // One router that has served 40 requests of 1000 tokens and has just written a mark that goes by them.
-World markedWorld();
+PrepaidSimulation simulationWithMark();
 
 // Requests of one size at one router, each settled in full, with writes in between. Returns how many were served.
-int serve(World &world, std::size_t router, int requests, Tokens size);
+int serve(PrepaidSimulation &sim, std::size_t router, int requests, Tokens size);
 
 // Serves requests of one size until the router refuses one; without a write.
-void spendAll(World &world, std::size_t router, Tokens size);
+void spendAll(PrepaidSimulation &sim, std::size_t router, Tokens size);
 
-ShareAccount &deskAt(World &world, std::size_t router);
+ShareAccount &accountAt(PrepaidSimulation &sim, std::size_t router);
 
 } // namespace Godwit::Testing
--- a/godwit/prepaid/tokens_ahead.h
+++ b/godwit/prepaid/token_prefetch.h
@@ -21,16 +21,16 @@
 namespace Godwit
 {
 
-struct TokensAheadOptions
+struct TokenPrefetchOptions
 {
     // An exchange is asked for when half of what is kept is used, and the demand may be twice what it was.
-    double exchanges = 4;
+    double exchangeMultiple = 4;
     // A home that draws first answers within some 50 ms, and a burst of requests comes sooner than the next look.
-    Duration least = std::chrono::milliseconds(250);
+    Duration minTime = std::chrono::milliseconds(250);
     // More would cost a router's death more than the growth of marks that it is reckoned with.
-    Duration most = std::chrono::milliseconds(600);
+    Duration maxTime = std::chrono::milliseconds(600);
     // Nothing is kept when less than this part of a total is left.
-    double notBelow = 0.15;
+    double minRemainingFraction = 0.15;
 };
 
 // How long exchanges with homes lately took.
@@ -42,9 +42,9 @@
 void noteExchange(ExchangeTime &time, Duration took);
 
 // For how long a time of its demand a router keeps tokens.
-Duration aheadTime(const ExchangeTime &time, const TokensAheadOptions &options);
+Duration prefetchTime(const ExchangeTime &time, const TokenPrefetchOptions &options);
 
-struct TokensWanted
+struct PrefetchAmount
 {
     CustomerId customer;
     Tokens tokens = 0;
@@ -52,9 +52,9 @@
 
 // What a router wants to hold of the customers that are at home elsewhere; none of which it holds enough. Looks at
 // those alone that were asked for here lately, and forgets the others: a router serves few of all customers at a time.
-std::vector<TokensWanted> tokensAhead(PrepaidShare &share,
-                                      Duration ahead,
-                                      const TokensAheadOptions &options,
-                                      TimePoint now);
+std::vector<PrefetchAmount> tokensToPrefetch(PrepaidShare &share,
+                                             Duration period,
+                                             const TokenPrefetchOptions &options,
+                                             TimePoint now);
 
 } // namespace Godwit
--- a/godwit/prepaid/tokens_ahead_test.cpp
+++ b/godwit/prepaid/token_prefetch_test.cpp
@@ -1,4 +1,4 @@
-#include "godwit/prepaid/tokens_ahead.h"
+#include "godwit/prepaid/token_prefetch.h"
 
 #include <catch2/catch.hpp>
 
@@ -9,24 +9,24 @@
 namespace
 {
 
-const CustomerId Desk{"desk"};
+const CustomerId TestCustomer{"desk"};
 constexpr Tokens Total = 50'000'000;
 constexpr Tokens Size = 9000;
 
 // The customer is at home elsewhere, where so much remains of its total.
-PrepaidShare shareWithHomeElsewhere(Tokens remains)
+PrepaidShare shareWithRemoteHome(Tokens remains)
 {
     PrepaidShare share = makePrepaidShare({});
-    applyTotals(share, 1, {{Desk, Total}});
-    share.ledger.accounts[Desk].total = Total;
-    share.accounts[Desk].holdsAhead = false;
-    share.heldElsewhere[Desk][HolderId{"home"}].remaining = remains;
+    applyTotals(share, 1, {{TestCustomer, Total}});
+    share.ledger.accounts[TestCustomer].total = Total;
+    share.accounts[TestCustomer].isHome = false;
+    share.peerHoldings[TestCustomer][HolderId{"home"}].remaining = remains;
     return share;
 }
 
-Tokens wantedOfDesk(PrepaidShare &share, Duration ahead, TimePoint now)
+Tokens prefetchedTokens(PrepaidShare &share, Duration period, TimePoint now)
 {
-    const auto wanted = tokensAhead(share, ahead, TokensAheadOptions{}, now);
+    const auto wanted = tokensToPrefetch(share, period, TokenPrefetchOptions{}, now);
     return wanted.empty() ? 0 : wanted.front().tokens;
 }
 
@@ -40,60 +40,60 @@
 
 // A request each 6 ms. One that finds no tokens asks for them and waits 50 ms at most. The home answers each wish in
 // full after `exchange`.
-Outcome serve(Duration exchange, bool keepsAhead)
+Outcome serve(Duration exchange, bool prefetches)
 {
-    struct Wish
+    struct PendingRequest
     {
         TimePoint answeredAt;
         Tokens tokens = 0;
     };
     constexpr Duration step = std::chrono::milliseconds(6);
-    constexpr Duration patience = std::chrono::milliseconds(50);
-    constexpr Duration takes = std::chrono::milliseconds(300);
-    const TokensAheadOptions options;
-    PrepaidShare share = shareWithHomeElsewhere(Total);
+    constexpr Duration maxWait = std::chrono::milliseconds(50);
+    constexpr Duration runTime = std::chrono::milliseconds(300);
+    const TokenPrefetchOptions options;
+    PrepaidShare share = shareWithRemoteHome(Total);
     ExchangeTime time;
-    std::deque<Wish> wishes;
+    std::deque<PendingRequest> pendingRequests;
     std::deque<TimePoint> waiting;
     std::deque<TimePoint> running;
     Outcome outcome;
-    Tokens onItsWay = 0;
-    const auto ask = [&](Tokens tokens, TimePoint now) {
-        wishes.push_back({now + exchange, tokens});
-        onItsWay += tokens;
+    Tokens inTransit = 0;
+    const auto requestTokens = [&](Tokens tokens, TimePoint now) {
+        pendingRequests.push_back({now + exchange, tokens});
+        inTransit += tokens;
     };
     for (TimePoint now{}; now < TimePoint{} + std::chrono::seconds(6); now += step) {
-        while (!wishes.empty() && wishes.front().answeredAt <= now) {
-            receiveTokens(share, Desk, wishes.front().tokens);
-            onItsWay -= wishes.front().tokens;
+        while (!pendingRequests.empty() && pendingRequests.front().answeredAt <= now) {
+            receiveTokens(share, TestCustomer, pendingRequests.front().tokens);
+            inTransit -= pendingRequests.front().tokens;
             noteExchange(time, exchange);
-            wishes.pop_front();
+            pendingRequests.pop_front();
         }
         while (!running.empty() && running.front() <= now) {
-            settle(share, Desk, Size, Size);
+            settle(share, TestCustomer, Size, Size);
             running.pop_front();
         }
         ++outcome.requests;
-        noteRequest(share, Desk, Size, now);
+        noteRequest(share, TestCustomer, Size, now);
         waiting.push_back(now);
-        while (!waiting.empty() && waiting.front() + patience < now) {
+        while (!waiting.empty() && waiting.front() + maxWait < now) {
             ++outcome.refused;
             waiting.pop_front();
         }
-        while (!waiting.empty() && reserve(share, Desk, Size)) {
-            running.push_back(now + takes);
+        while (!waiting.empty() && reserve(share, TestCustomer, Size)) {
+            running.push_back(now + runTime);
             waiting.pop_front();
         }
-        const Tokens lacking = Size * static_cast<Tokens>(waiting.size()) - headroom(share, Desk) - onItsWay;
+        const Tokens lacking = Size * static_cast<Tokens>(waiting.size()) - headroom(share, TestCustomer) - inTransit;
         if (lacking > 0) {
-            ask(lacking, now);
+            requestTokens(lacking, now);
         }
-        const Tokens ahead = keepsAhead ? wantedOfDesk(share, aheadTime(time, options), now) : 0;
-        if (ahead > onItsWay) {
-            ask(ahead - onItsWay, now);
+        const Tokens period = prefetches ? prefetchedTokens(share, prefetchTime(time, options), now) : 0;
+        if (period > inTransit) {
+            requestTokens(period - inTransit, now);
         }
     }
-    outcome.leftOver = headroom(share, Desk);
+    outcome.leftOver = headroom(share, TestCustomer);
     return outcome;
 }
 
@@ -103,9 +103,9 @@
 {
     // The caller is told to come back, again and again. The host's link is full, so that an exchange with the home
     // takes three times as long as a request may wait; tokens for it arrive when it has been refused.
-    constexpr Duration choked = std::chrono::milliseconds(150);
-    const Outcome without = serve(choked, false);
-    const Outcome with = serve(choked, true);
+    constexpr Duration slowExchange = std::chrono::milliseconds(150);
+    const Outcome without = serve(slowExchange, false);
+    const Outcome with = serve(slowExchange, true);
     CHECK(without.refused > without.requests / 3);
     CHECK(with.refused < with.requests / 20);
 }
@@ -113,7 +113,7 @@
 TEST_CASE("where exchanges are quick little is kept, since it would be lost with its router")
 {
     const Outcome quick = serve(std::chrono::milliseconds(3), true);
-    const auto requests = TokensAheadOptions().least / std::chrono::milliseconds(6);
+    const auto requests = TokenPrefetchOptions().minTime / std::chrono::milliseconds(6);
     CHECK(quick.refused == 0);
     // A steady demand is known to within a tenth.
     CHECK(quick.leftOver <= Size * requests * 11 / 10);
@@ -121,17 +121,17 @@
 
 TEST_CASE("nothing is kept near the end of a budget, or at the customer's home")
 {
-    const TokensAheadOptions options;
+    const TokenPrefetchOptions options;
     const TimePoint now = TimePoint{} + std::chrono::seconds(1);
-    const auto keeps = [&](PrepaidShare share) {
-        noteRequest(share, Desk, Size, now);
-        return wantedOfDesk(share, options.most, now) > 0;
+    const auto prefetches = [&](PrepaidShare share) {
+        noteRequest(share, TestCustomer, Size, now);
+        return prefetchedTokens(share, options.maxTime, now) > 0;
     };
-    CHECK(keeps(shareWithHomeElsewhere(Total)));
-    CHECK_FALSE(keeps(shareWithHomeElsewhere(Total / 10)));
-    PrepaidShare atHome = shareWithHomeElsewhere(Total);
-    atHome.accounts[Desk].holdsAhead = true;
-    CHECK_FALSE(keeps(atHome));
+    CHECK(prefetches(shareWithRemoteHome(Total)));
+    CHECK_FALSE(prefetches(shareWithRemoteHome(Total / 10)));
+    PrepaidShare atHome = shareWithRemoteHome(Total);
+    atHome.accounts[TestCustomer].isHome = true;
+    CHECK_FALSE(prefetches(atHome));
 }
 
 TEST_CASE("of many customers those alone are looked at that were asked for lately")
@@ -146,10 +146,10 @@
     applyTotals(share, 1, totals);
     const TimePoint now = TimePoint{} + std::chrono::seconds(1);
     noteRequest(share, CustomerId{"customer-7"}, Size, now);
-    const TokensAheadOptions options;
-    tokensAhead(share, options.most, options, now);
-    CHECK(share.askedFor.size() == 1);
-    tokensAhead(share, options.most, options, now + std::chrono::minutes(2));
-    CHECK(share.askedFor.empty());
+    const TokenPrefetchOptions options;
+    tokensToPrefetch(share, options.maxTime, options, now);
+    CHECK(share.activeCustomers.size() == 1);
+    tokensToPrefetch(share, options.maxTime, options, now + std::chrono::minutes(2));
+    CHECK(share.activeCustomers.empty());
     CHECK(share.accounts.at(CustomerId{"customer-7"}).demandBySize.empty());
 }
--- a/godwit/relay/caller_connection_test.cpp
+++ b/godwit/relay/caller_connection_test.cpp
@@ -412,7 +412,7 @@
     router.leave();
     router.engine.close();
     router.runUntilSettled();
-    CHECK(router.account().net == 0);
+    CHECK(router.account().netUsed == 0);
 }
 
 TEST_CASE("a call whose time is over before its engine made an event costs its customer nothing")
@@ -424,7 +424,7 @@
     });
     router.engine.close();
     router.runUntilSettled();
-    CHECK(router.account().net == 0);
+    CHECK(router.account().netUsed == 0);
 }
 
 TEST_CASE("a call whose engine ends its connection without an event is charged its prompt")
@@ -440,7 +440,7 @@
     }
     router.engine.close();
     router.runUntilSettled();
-    CHECK(router.account().net == 700);
+    CHECK(router.account().netUsed == 700);
 }
 
 TEST_CASE("a call whose engine may have made an event is charged its prompt though the caller left")
@@ -462,5 +462,5 @@
     {
     }
     router.runUntilSettled();
-    CHECK(router.account().net == 700);
+    CHECK(router.account().netUsed == 700);
 }
--- a/godwit/relay/relay.cpp
+++ b/godwit/relay/relay.cpp
@@ -51,7 +51,7 @@
     const bool bounded = std::any_of(accounts.begin(), accounts.end(), [](const auto &entry) {
         return entry.second.bounded;
     });
-    return !bounded || m_state.prepaid.takenOver;
+    return !bounded || m_state.prepaid.predecessorSettled;
 }
 
 bool Relay::isBehind(TimePoint now) const
@@ -111,11 +111,11 @@
 void Relay::noteWanted()
 {
     std::map<CustomerId, Tokens> needed = neededHere();
-    for (const TokenAsk &ask : m_state.prepaid.asks) {
+    for (const TransferRequest &ask : m_state.prepaid.transferRequests) {
         needed[ask.customer] += ask.needed;
     }
     for (const auto &[customer, tokens] : needed) {
-        wantMore(m_state.prepaid, customer, tokens);
+        noteShortfall(m_state.prepaid, customer, tokens);
     }
 }
 
--- a/godwit/relay/relay_call.cpp
+++ b/godwit/relay/relay_call.cpp
@@ -445,7 +445,7 @@
                          {"tokens", m_worstCase},
                          {"headroom", headroom(m_relay.state().prepaid, m_customer)},
                          {"unused_grant", unusedGrant(m_relay.state().prepaid, m_customer)},
-                         {"may_remain", mayRemain(m_relay.state().prepaid, m_customer)},
+                         {"may_remain", maxRemaining(m_relay.state().prepaid, m_customer)},
                          {"spendable_elsewhere", spendableElsewhere()},
                          {"sends", static_cast<std::int64_t>(m_sends)},
                          {"after_ms", toMilliseconds(Relay::now() - m_arrived)},
--- a/godwit/relay/relay_call_tokens.cpp
+++ b/godwit/relay/relay_call_tokens.cpp
@@ -12,7 +12,7 @@
 
 void RelayCall::reserveTokens()
 {
-    if (m_worstCase > 0 && mustLeaveToSmaller(m_relay.state().prepaid, m_customer, m_worstCase, m_arrived)) {
+    if (m_worstCase > 0 && wouldUseSmallRequestReserve(m_relay.state().prepaid, m_customer, m_worstCase, m_arrived)) {
         refuseForBudget("what is left of the budget is kept for smaller requests: ask for fewer tokens");
         return;
     }
@@ -37,7 +37,7 @@
 void RelayCall::refuseForBudget(const std::string &message)
 {
     const PrepaidShare &share = m_relay.state().prepaid;
-    if (share.takenOver && mayRemain(share, m_customer) < m_worstCase) {
+    if (share.predecessorSettled && maxRemaining(share, m_customer) < m_worstCase) {
         refuse(ErrorKind::BudgetExhausted, "the customer's budget does not cover this request at its most", {});
     } else {
         refuse(ErrorKind::BudgetBusy, message, tokensBack());
@@ -47,7 +47,7 @@
 // When the caller should come back for tokens: once they grow again, and not all callers at that moment.
 Duration RelayCall::tokensBack() const
 {
-    const Duration grows = untilTokensGrow(m_relay.state().prepaid, m_customer, Relay::now());
+    const Duration grows = timeUntilLimitGrows(m_relay.state().prepaid, m_customer, Relay::now());
     return grows == Duration::zero() ? m_relay.options().comeBack : grows + comeBackByLot();
 }
 
@@ -78,14 +78,14 @@
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"customer", std::string_view(m_customer.value)},
                          {"tokens", m_worstCase},
-                         {"may_remain", mayRemain(share, m_customer)},
+                         {"may_remain", maxRemaining(share, m_customer)},
                          {"total", share.accounts.at(m_customer).total}});
 }
 
 Tokens RelayCall::spendableElsewhere() const
 {
     Tokens sum = 0;
-    const auto &known = m_relay.state().prepaid.heldElsewhere;
+    const auto &known = m_relay.state().prepaid.peerHoldings;
     const auto found = known.find(m_customer);
     if (found != known.end()) {
         for (const auto &[holder, held] : found->second) {
