--- a/godwit/prepaid/call_charge.h
+++ b/godwit/prepaid/call_charge.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// What one call costs its customer.
+// Charge of one call to its customer.
 //
-// A total counts the prompt once for each request that an engine began to answer, and the output that was passed on.
-// An engine sends its first event with the first token that it makes, or loses it and ends the connection at once, so
-// that a request that its engine still holds open without a byte has not begun. Where nobody can say whether one has,
-// the prompt is charged.
+// The prompt is charged once for each request that an engine started to answer, plus the output that was passed on to
+// the caller. An engine sends its first event with the first token it generates, or loses the token and closes the
+// connection at once; a request whose engine still holds the connection open without having sent a byte has therefore
+// not started. If it cannot be determined whether a request started, the prompt is charged.
 //
 // Pure. Example:
 //   CallUsage usage;
@@ -25,9 +25,10 @@
 {
     Tokens promptTokens = 0;
     Tokens maxOutputTokens = 0;
-    Tokens tokensPerEvent = 1; // At most.
+    Tokens tokensPerEvent = 1; // Upper bound.
     std::uint64_t eventsPassed = 0;
-    bool mayHaveBegun = false; // False only where every endpoint that got it is known to have made nothing.
+    // False only if every endpoint that received the request is known to have generated nothing.
+    bool mayHaveBegun = false;
 };
 
 inline Tokens chargeOf(const CallUsage &usage)
--- a/godwit/prepaid/prepaid_fuzz_test.cpp
+++ b/godwit/prepaid/prepaid_fuzz_test.cpp
@@ -7,8 +7,8 @@
 using Testing::PrepaidSimulation;
 using Testing::WriteOutcome;
 
-// What the customers see: whatever dies, freezes or gets lost in whatever order, nobody uses more than was prepaid.
-// Each step is one thing that happens to one router or to the store; the oracle counts only what requests have used.
+// Whatever routers or messages fail, in any order, no customer uses more than was prepaid. Each step is one event at
+// one router or at the store; the oracle counts only what requests have used.
 
 namespace
 {
@@ -20,7 +20,7 @@
 
 enum class Action {
     Request,
-    Drain, // Small requests until one is refused: overspends show only where budgets end.
+    Drain, // Small requests until one is refused: overspends show only at the end of a budget.
     Finish,
     Sync,
     MoveTokens,
@@ -29,8 +29,8 @@
     Start,
     ApplyLateWrites,
     ReturnGrants,
-    SwitchHome, // Whether the router is home to the customer.
-    RequestTokens, // The other router asks this one for what a request needs, and waits if it must.
+    SwitchHome, // Changes whether the router is the customer's home.
+    RequestTokens, // Another router requests the tokens that a call needs; the request is queued if necessary.
     ServeTransferRequests,
 };
 
@@ -140,7 +140,7 @@
 
 } // namespace
 
-TEST_CASE("no order of deaths, losses and trades spends more than was prepaid")
+TEST_CASE("no order of crashes, losses and transfers spends more than was prepaid")
 {
     CHECK(rc::check([] {
         PrepaidSimulation sim(Routers, {{Small, Total}, {Large, 5 * Total}});
--- a/godwit/prepaid/prepaid_record.cpp
+++ b/godwit/prepaid/prepaid_record.cpp
@@ -128,7 +128,7 @@
         mark.writer = Incarnation{value.at("writer").get<std::string>()};
         mark.writtenAt.uptime = std::chrono::milliseconds(integerFromJson(value.at("uptime_ms")));
         mark.writtenAt.wall = std::chrono::milliseconds(integerFromJson(value.at("wall_ms")));
-        // Marks of earlier versions have none.
+        // Records written by earlier versions lack this field.
         const auto steady = value.find("steady_wall_ms");
         mark.steadyWall =
             steady == value.end() ? mark.writtenAt.wall : std::chrono::milliseconds(integerFromJson(*steady));
--- a/godwit/prepaid/prepaid_record.h
+++ b/godwit/prepaid/prepaid_record.h
@@ -1,15 +1,17 @@
 #pragma once
 
-// The two records in the platform that keep prepaid totals safe, and their JSON codec.
+// The two records in the platform's key-value store that keep prepaid totals safe, and their JSON codec.
 //
-// The ledger is shared by all routers and written under a condition on its revision. In every stored version, for
-// each customer: spent + sum(granted) <= total, unless the operators have lowered the total below that.
-// A mark belongs to one router. It says how far the router goes until some time after the mark was written.
+// The ledger is shared by all routers; every write is conditional on its revision. In every stored version, for each
+// customer: spent + sum(granted) <= total, unless the operators have lowered the total below that.
+//
+// A mark record belongs to one router. For each customer it holds a high-water mark that bounds the router's usage as a
+// function of the time since the record was written.
 //
 // Example:
 //   LastReason reason;
 //   const auto ledger = decodePrepaidLedger(bytes, reason);
-//   const Tokens room = roomOf(ledger->customers.at(customer));
+//   const Tokens unallocated = unallocatedTokens(ledger->accounts.at(customer));
 
 #include "godwit/base/error.h"
 #include "godwit/base/ids.h"
@@ -24,16 +26,17 @@
 namespace Godwit
 {
 
-// One router as the ledger names it: the address that callers connect to, which outlives a restart of the process.
+// Identifies a router in the ledger: the address that callers connect to, which stays the same when the process
+// restarts.
 using HolderId = StrongId<struct HolderTag, std::string>;
 
 struct LedgerAccount
 {
-    Tokens total = 0; // As the document of PrepaidLedger::documentVersion gives it.
-    Tokens spent = 0; // Charged for good, by routers that have ended.
-    // Part of `spent` that may never have been used: a router died and only its mark was known.
+    Tokens total = 0; // From the document of PrepaidLedger::documentVersion.
+    Tokens spent = 0; // Final charges, by routers that have ended.
+    // Part of `spent` that may not have been used: charged for a router that died and left only its mark.
     Tokens unsure = 0;
-    // How far each router may go in all: used, plus sent to others, less received from others.
+    // Upper bound on each router's net usage: tokens used, plus sent to other routers, less received from them.
     std::map<HolderId, Tokens> granted;
 };
 
@@ -45,47 +48,48 @@
 
 struct Mark
 {
-    Tokens limit = 0; // The router goes no further than this while the mark binds.
-    Tokens used = 0; // Where it was when it wrote the mark.
-    Tokens growthPerSecond = 0; // How fast the limit grows once the mark binds no more.
-    // How long the limit stands, and so for how long a successor may trust it.
+    Tokens limit = 0; // Upper bound on the router's net usage during `fixedPeriod`.
+    Tokens used = 0; // Net usage when the mark was written.
+    Tokens growthPerSecond = 0; // Growth rate of the limit after `fixedPeriod`.
+    // How long the limit stays fixed after the write. A successor that starts within this time charges no more than
+    // `limit`.
     std::chrono::milliseconds fixedPeriod{};
 };
 
-// A moment as one host knows it. Unlike the time of day, the uptime makes no jumps; it starts anew with the host.
+// A point in time by one host's clocks. Unlike the time of day, the uptime is never stepped; it restarts with the host.
 struct HostTime
 {
-    std::chrono::milliseconds uptime{}; // Counts while the host is suspended.
+    std::chrono::milliseconds uptime{}; // Includes time during which the host is suspended.
     std::chrono::milliseconds wall{}; // Since the Unix epoch.
-    std::string boot; // Which start of the host; empty when the system does not tell.
+    std::string boot; // Identifies the boot of the host; empty if the system does not provide it.
 };
 
 struct MarkRecord
 {
-    // The process that wrote it. A process that finds its own mark knows that its write took effect.
+    // The process that wrote the record. A process that reads back its own record knows that its write took effect.
     Incarnation writer;
     HostTime writtenAt;
-    // The time of day that the writer started with, carried on by the uptime: it does not follow later steps.
+    // The wall time at which the writer started plus the uptime since then, so that later clock steps are not included.
     std::chrono::milliseconds steadyWall{};
     std::map<CustomerId, Mark> marks;
-    // Written by a stop, together with the ledger that has all given back. A process that finds its own knows that, and
-    // a successor has nothing to take over.
+    // Set by a planned stop, in the same transaction as a ledger without this router's grants. A process that reads
+    // back its own such record knows that the return took effect; a successor has nothing to take over.
     bool returned = false;
 };
 
-// A mark's limit grows no longer than this. A successor whose clocks can't place the mark charges no more than all of
-// the growth: a time of day that jumps beside a loss of power cost whole grants, and with them most of a budget. The
-// store is away for some 9 s at a time, and 2.3 s of lead and 5 s of growth at twice the demand last for 12 s.
+// How long a mark's limit grows after its fixed period. If a successor's clocks cannot determine the mark's age, it
+// charges the full growth but no more: charging the whole grant made a clock step during a power failure cost most of a
+// budget. Store outages last some 9 s; 2.3 s of write-ahead and 5 s of growth at twice the demand cover 12 s.
 inline constexpr std::chrono::milliseconds MarkGrowthPeriod{5000};
 
-// How far a mark lets its router go when it is `age` old. The router reckons with the least age that its clocks allow
-// and its successor with the greatest, so that the one never goes beyond what the other charges.
+// The mark's limit when it is `age` old. The router passes the smallest age that its clocks allow and its successor the
+// largest, so that the router never uses more than its successor charges.
 Tokens limitAtAge(const Mark &mark, std::chrono::milliseconds age);
 
-// How far it lets its router go at any age.
+// The largest limit that the mark reaches at any age.
 Tokens maxLimitOf(const Mark &mark);
 
-// What is neither spent nor granted. Negative after the total was lowered.
+// Tokens that are neither spent nor granted. May be negative after the total was lowered.
 Tokens unallocatedTokens(const LedgerAccount &account);
 
 std::string encodePrepaidLedger(const PrepaidLedger &ledger);
--- a/godwit/prepaid/prepaid_record_test.cpp
+++ b/godwit/prepaid/prepaid_record_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace Godwit;
 
-TEST_CASE("ledger and mark survive their encoding")
+TEST_CASE("ledger and mark records survive an encode/decode round trip")
 {
     PrepaidLedger ledger;
     ledger.documentVersion = 7;
@@ -30,7 +30,7 @@
     CHECK(readMark->marks.at(CustomerId{"desk"}).growthPerSecond == 12);
 }
 
-TEST_CASE("bytes that are no record give a reason and no value")
+TEST_CASE("malformed records are rejected with a reason")
 {
     for (const char *bytes : {"",
                               "{",
--- a/godwit/prepaid/prepaid_share.cpp
+++ b/godwit/prepaid/prepaid_share.cpp
@@ -1,4 +1,4 @@
-// Limits and reservations: what a router may spend now, and what may be left of a budget.
+// Limits and reservations: what a router may spend now, and an upper bound on what is left of a budget.
 
 #include "godwit/prepaid/prepaid_share.h"
 
@@ -67,7 +67,7 @@
     Tokens limit = account.granted;
     boundBy(limit, share.pendingGrants, customer);
     boundBy(limit, share.uncertainGrants, customer);
-    // All as old as the newest: those before it let the router go further still.
+    // All marks are treated as as old as the newest one, which is safe: the limits of older marks have grown further.
     limit = std::min(limit, limitAtAge(account.mark, share.markAge));
     for (const auto *marks : {&share.uncertainMarks, &share.pendingMarks}) {
         const auto found = marks->find(customer);
@@ -101,7 +101,8 @@
         account.bounded = total.has_value();
         account.total = total.value_or(0);
         if (lowered) {
-            // A total below what is out would be overspent if each holder went on: stop at what is committed.
+            // Other routers may hold more than the lowered total allows: spend nothing beyond what is already
+            // committed.
             account.granted = std::min(account.granted, committed(account));
             share.ledgerKnown = false;
         }
@@ -169,12 +170,12 @@
         return 0;
     }
     if (account == nullptr) {
-        // Nobody has drawn on it yet.
+        // No router has drawn on it yet.
         return own->total;
     }
     const auto &others = peerHoldingsOf(share, customer);
     if (!own->isHome && !others.empty()) {
-        // This router's own copy of the ledger is as old as its last write; the home's word is not.
+        // This router's copy of the ledger is as old as its last write; the home's report is newer.
         Tokens reported = 0;
         for (const auto &[holder, held] : others) {
             reported = std::max(reported, held.remaining);
@@ -185,7 +186,7 @@
     std::uint64_t newest = share.ledgerRevision;
     Tokens remaining = unusedGrant(share, customer);
     for (const auto &[holder, granted] : account->granted) {
-        // A holder that nobody hears may have used nothing at all.
+        // A holder without a recent report may have used nothing.
         remaining += holder == share.options.self || others.count(holder) != 0 ? 0 : granted;
     }
     for (const auto &[holder, held] : others) {
--- a/godwit/prepaid/prepaid_share_test.cpp
+++ b/godwit/prepaid/prepaid_share_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// One router that has written a mark by its demand after the time of day was stepped in its life.
+// One router that has written a mark based on its demand after the time of day was stepped during its lifetime.
 PrepaidSimulation simulationAfterClockStep(std::chrono::milliseconds by)
 {
     PrepaidSimulation sim = startedSimulation(1);
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a router spends nothing before its first write stands")
+TEST_CASE("a router spends nothing before its first write has succeeded")
 {
     PrepaidSimulation sim(1, {{TestCustomer, Total}});
     CHECK_FALSE(sim.request(0, TestCustomer, 10));
@@ -31,7 +31,7 @@
     CHECK(sim.request(0, TestCustomer, 10));
 }
 
-TEST_CASE("requests of a steady customer are served down to the end of its budget")
+TEST_CASE("a customer with steady demand is served until its budget is exhausted")
 {
     PrepaidSimulation sim = startedSimulation(1);
     const int served = serve(sim, 0, 1200, 1000);
@@ -46,10 +46,10 @@
     CHECK(reserve(share, TestCustomer, Total));
 }
 
-TEST_CASE("while the store is away a router goes on at a steady rate as far as its mark grows")
+TEST_CASE("during a store outage a router keeps serving at a steady rate while the limit of its mark grows")
 {
-    // The caller sees a refusal at first and service again some seconds later. The router's writes stop; its mark
-    // still bounds it, since its host's next process would trust the mark; after that time the limit grows.
+    // Callers are refused at first and served again some seconds later. While the router cannot write, its mark still
+    // limits it, since its host's next process would trust that mark; after the fixed period the limit grows.
     PrepaidSimulation sim = simulationWithMark();
     const auto spentHere = [&sim] {
         spendAll(sim, 0, 1000);
@@ -70,13 +70,13 @@
     CHECK(atEnd > furthest - 1000);
 }
 
-TEST_CASE("a process that is back soon charges its predecessor's mark only")
+TEST_CASE("a process that restarts within the mark's fixed period charges only the limit of its predecessor's mark")
 {
     PrepaidSimulation sim = startedSimulation(2);
     serve(sim, 0, 40, 1000);
     sim.advance(2 * WriteInterval);
     sim.sync(0, WriteOutcome::Done);
-    // The other router had written the ledger: the first try only reads it.
+    // The other router has written the ledger since: the first attempt only reads it.
     sim.sync(0, WriteOutcome::Done);
     const Tokens granted = accountAt(sim, 0).granted;
     const Tokens marked = accountAt(sim, 0).mark.limit;
@@ -88,10 +88,10 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent == marked);
 }
 
-TEST_CASE("a process that is back late charges as far as its predecessor may have gone, and no further")
+TEST_CASE("a process that restarts late charges what its predecessor may have used, and no more")
 {
-    // The overspend that this forbids: the store is away, a router goes beyond its mark and dies; its successor finds
-    // the old mark and would give back what was spent. What it can't have spent in that time does come back.
+    // Guards against an overspend: during a store outage a router exceeds the limit of its mark and dies; its successor
+    // finds the old mark and would return tokens that were spent. What cannot have been spent in that time is returned.
     PrepaidSimulation sim = simulationWithMark();
     const Tokens granted = accountAt(sim, 0).granted;
     sim.advance(accountAt(sim, 0).mark.fixedPeriod + std::chrono::seconds(1));
@@ -109,9 +109,9 @@
     CHECK(sim.spent(TestCustomer) <= Total);
 }
 
-TEST_CASE("a process that is back after a long loss of the store charges all that its predecessor could spend")
+TEST_CASE("a process that restarts after a long store outage charges all that its predecessor could spend")
 {
-    // For all its successor knows the router has gone as far as its mark grows, and it has.
+    // The successor must assume that the mark's limit was used to its maximum, and here it was.
     PrepaidSimulation sim = simulationWithMark();
     const Tokens granted = accountAt(sim, 0).granted;
     const Tokens furthest = maxLimitOf(accountAt(sim, 0).mark);
@@ -126,10 +126,10 @@
     CHECK(used <= furthest);
 }
 
-TEST_CASE("a mark whose time this host's clock can't place costs all of its growth and not the grant")
+TEST_CASE("a mark whose age the host's clocks cannot determine costs its full growth but not the whole grant")
 {
-    // Callers of a customer with half of its budget left are turned away for good: all hosts lost power while their
-    // time of day was set back by more than the marks' age, so that the marks seem to come from the future.
+    // Guards against customers with half of their budget left being refused for good: all hosts lost power while their
+    // time of day was set back by more than the marks' age, so that the marks appear to be from the future.
     PrepaidSimulation sim = simulationWithMark();
     const Tokens granted = accountAt(sim, 0).granted;
     const Tokens furthest = maxLimitOf(accountAt(sim, 0).mark);
@@ -141,9 +141,9 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent == furthest);
 }
 
-TEST_CASE("a step of the time of day that is taken back while the host is off costs no growth of the mark")
+TEST_CASE("a clock step that is reverted while the host is off costs no growth of the mark")
 {
-    // Guards against budgets used up by a loss of power soon after a mark was written.
+    // Guards against budgets used up by a power failure soon after a mark was written.
     PrepaidSimulation sim = simulationAfterClockStep(std::chrono::milliseconds(2500));
     const Tokens marked = accountAt(sim, 0).mark.limit;
     REQUIRE(marked < accountAt(sim, 0).granted);
@@ -155,9 +155,9 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent == marked);
 }
 
-TEST_CASE("a step of the time of day that is taken back while the host is off does not make the mark look young")
+TEST_CASE("a clock step that is reverted while the host is off does not make the mark look younger")
 {
-    // Guards against spending beyond a budget: what was spent once the mark bound no more would be given back.
+    // Guards against an overspend: what was spent after the mark's fixed period would be returned.
     PrepaidSimulation sim = simulationAfterClockStep(std::chrono::milliseconds(2500));
     const Mark mark = accountAt(sim, 0).mark;
     sim.advance(mark.fixedPeriod + std::chrono::seconds(1));
@@ -172,18 +172,18 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent >= used);
 }
 
-TEST_CASE("a killed process's mark is placed by the uptime of its host whatever the time of day does")
+TEST_CASE("the age of a killed process's mark is measured by the host's uptime, whatever the time of day does")
 {
-    // Guards against budgets used up by a step of the time of day beside a death.
+    // Guards against budgets used up by a step of the time of day around a crash.
     PrepaidSimulation sim = simulationAfterClockStep(std::chrono::seconds(4));
     const Tokens marked = accountAt(sim, 0).mark.limit;
     REQUIRE(marked < accountAt(sim, 0).granted);
     sim.kill(0);
     sim.advance(std::chrono::seconds(1));
-    SECTION("the step stays")
+    SECTION("the clock step persists")
     {
     }
-    SECTION("the step is taken back")
+    SECTION("the clock step is reverted")
     {
         sim.stepClock(std::chrono::seconds(-4));
     }
@@ -192,10 +192,10 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent == marked);
 }
 
-TEST_CASE("a time of day that was set back before the end of the mark does not lengthen the mark's trust")
+TEST_CASE("setting the time of day back during the fixed period does not extend a successor's trust in the mark")
 {
-    // The store is away. The clock is set back by two seconds, which would let the mark look young to a successor:
-    // the router waits until both clocks say that the mark binds no more.
+    // Store outage. The clock is set back by two seconds, which would make the mark look younger to a successor: the
+    // router waits until the fixed period is over by both clocks.
     PrepaidSimulation sim = simulationWithMark();
     spendAll(sim, 0, 1000);
     sim.stepClock(std::chrono::milliseconds(-2000));
@@ -205,10 +205,10 @@
     CHECK(sim.request(0, TestCustomer, 1000));
 }
 
-TEST_CASE("after a write without an answer only what both outcomes allow is spent")
+TEST_CASE("after a write with unknown outcome, only what both outcomes allow is spent")
 {
-    // The answer to a write that gives tokens back is lost. Whether it took effect is not known, so that others may
-    // hold them already.
+    // The response to a write that returns tokens is lost. It may have taken effect, and other routers may hold the
+    // tokens already.
     PrepaidSimulation sim = startedSimulation(2);
     for (int i = 0; i < 20; ++i) {
         serve(sim, 0, 10, 2000);
@@ -227,7 +227,7 @@
     CHECK(sim.share(0).uncertainGrants.empty());
 }
 
-TEST_CASE("a process that finds its own mark knows that its first write took effect")
+TEST_CASE("a process that reads back its own mark knows that its first write took effect")
 {
     PrepaidSimulation sim(1, {{TestCustomer, Total}});
     sim.sync(0, WriteOutcome::AnswerLost);
@@ -237,7 +237,7 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent == 0);
 }
 
-TEST_CASE("a total that was lowered stops spending until the ledger has been read and written")
+TEST_CASE("lowering a total stops spending until the ledger has been read and written")
 {
     PrepaidSimulation sim = startedSimulation(2);
     serve(sim, 0, 100, 1000);
@@ -254,9 +254,9 @@
     CHECK(sim.spent(TestCustomer) >= 140'000);
 }
 
-TEST_CASE("a total that is lowered while a write is open stops spending as well")
+TEST_CASE("lowering a total while a write is open stops spending as well")
 {
-    // The overspend that this forbids: the write's answer comes after the change, and would put the old grant in force.
+    // Guards against an overspend: the write completes after the change and would put the old grant into effect.
     PrepaidSimulation sim = startedSimulation(1);
     serve(sim, 0, 100, 1000);
     PrepaidShare &share = sim.share(0);
@@ -267,10 +267,10 @@
     CHECK_FALSE(sim.request(0, TestCustomer, 1000));
 }
 
-TEST_CASE("a total that was lowered binds as soon as the ledger is read, before it is written")
+TEST_CASE("a lowered total applies as soon as the ledger is read, before it is written")
 {
-    // Other routers may hold more than is left. Until the grants have gone back, what is over the total is out of
-    // reach here: the write that gives it back may be refused many times.
+    // Other routers may hold more than is left. Until the grants have been returned, tokens beyond the new total must
+    // not be spent here: the write that returns them may be refused many times.
     PrepaidSimulation sim = startedSimulation(2);
     serve(sim, 0, 100, 1000);
     sim.setTotal(TestCustomer, 150'000);
@@ -280,7 +280,7 @@
     CHECK(sim.spent(TestCustomer) <= 150'000);
 }
 
-TEST_CASE("a total that was raised is there with the next write")
+TEST_CASE("a raised total is available after the next write")
 {
     PrepaidSimulation sim = startedSimulation(1, 50'000);
     serve(sim, 0, 100, 1000);
@@ -290,12 +290,12 @@
     CHECK(sim.spent(TestCustomer) == 80'000);
 }
 
-TEST_CASE("a planned stop gives back all that was not used")
+TEST_CASE("a planned stop returns all unused tokens")
 {
     PrepaidSimulation sim = startedSimulation(2);
     serve(sim, 0, 30, 1000);
     sim.advance(WriteInterval);
-    // The other router has written the ledger since: the first try only reads it.
+    // The other router has written the ledger since: the first attempt only reads it.
     const bool first = sim.returnGrants(0);
     REQUIRE((first || sim.returnGrants(0)));
     CHECK_FALSE(sim.request(0, TestCustomer, 1));
@@ -307,12 +307,12 @@
     CHECK(sim.share(1).ledger.accounts.at(TestCustomer).spent == sim.spent(TestCustomer));
 }
 
-// Guards against an overspend: tokens that another router sent would be given back a second time.
-TEST_CASE("a planned stop whose answer was lost gives back once")
+// Guards against an overspend: tokens received from another router would be returned a second time.
+TEST_CASE("a planned stop whose response was lost returns tokens only once")
 {
     PrepaidSimulation sim(2, {{TestCustomer, Total}});
-    // One that holds nothing ahead has neither grant nor mark, and what it was sent and did not use is less than
-    // nothing.
+    // A router that is not a home has neither grant nor mark, and its net usage is negative if it did not use all the
+    // tokens it received.
     sim.share(1).accounts[TestCustomer].isHome = GENERATE(true, false);
     sim.sync(0, WriteOutcome::Done);
     sim.sync(1, WriteOutcome::Done);
@@ -325,10 +325,10 @@
     REQUIRE(sim.share(1).accounts.at(TestCustomer).netUsed < 0);
     serve(sim, 1, 1, 1000);
     const WriteOutcome outcome = GENERATE(WriteOutcome::AnswerLost, WriteOutcome::Late);
-    sim.share(1).ledgerKnown = false; // It reads what the other one has written.
+    sim.share(1).ledgerKnown = false; // Makes it read what the other router has written.
     sim.returnGrants(1, outcome);
     sim.applyLateWrites();
-    // The other router writes before this one has read what became of its write.
+    // The other router writes before this one has read the outcome of its own write.
     serve(sim, 0, 10, 1000);
     sim.advance(WriteInterval);
     sim.sync(0, WriteOutcome::Done);
@@ -344,10 +344,11 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent == sim.spent(TestCustomer));
 }
 
-TEST_CASE("a router whose give-back failed is still bound by its mark")
+TEST_CASE("a router whose return failed is still limited by its mark")
 {
-    // The overspend that this forbids: a stopping router's last write loses against another router's. Its mark is as
-    // old as before; a router that took it for older goes beyond it, and its successor gives back what was spent.
+    // Guards against an overspend: the last write of a stopping router loses to another router's. Its mark is as old as
+    // before; a router that assumed a greater age would exceed it, and its successor would return tokens that were
+    // spent.
     PrepaidSimulation sim(2, {{TestCustomer, Total}});
     sim.sync(0, WriteOutcome::Done);
     serve(sim, 0, 40, 1000);
@@ -364,10 +365,10 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent >= used);
 }
 
-TEST_CASE("a mark is not left to grow old while other routers win the ledger")
+TEST_CASE("a mark is rewritten in time while other routers win the ledger")
 {
-    // A death then costs what the router may have spent since its last mark. Its write with the ledger was refused
-    // because another router was faster; the next one may be refused as well, while the mark alone never is.
+    // The cost of a crash grows with the age of the last mark. The router's write of the ledger lost to another
+    // router's, and the next one may lose as well, while a write of the mark alone never does.
     PrepaidSimulation sim = startedSimulation(2);
     serve(sim, 0, 40, 3000);
     sim.sync(1, WriteOutcome::Done);
@@ -380,7 +381,7 @@
     REQUIRE(lost);
     REQUIRE(lost->ledger);
     onWriteRefused(share, true);
-    share.ledgerKnown = true; // Read again meanwhile.
+    share.ledgerKnown = true; // As if read again in the meantime.
     sim.advance(2 * WriteInterval);
     const auto next = plan();
     REQUIRE(next);
@@ -392,21 +393,21 @@
     CHECK(after->ledger);
 }
 
-TEST_CASE("a write that lost against another router's is tried again at once")
+TEST_CASE("a write that lost to another router's is retried at once")
 {
-    // In a large fleet the ledger changes several times between two writes of one router. One that waited its usual
-    // time after each refusal would find the ledger changed again each time, and its requests no tokens.
+    // In a large fleet the ledger changes several times between two writes of one router. A router that waited its
+    // usual interval after each refusal would find the ledger changed each time and never get tokens for its requests.
     PrepaidSimulation sim = startedSimulation(2);
     serve(sim, 0, 40, 3000);
     sim.advance(WriteInterval);
     PrepaidShare &share = sim.share(0);
     REQUIRE(planWrite(share, sim.now(), sim.hostTime(0)));
     onWriteRefused(share, true);
-    share.ledgerKnown = true; // The refusal says what stands.
+    share.ledgerKnown = true; // The refusal reports the current records.
     CHECK(planWrite(share, sim.now(), sim.hostTime(0)));
 }
 
-TEST_CASE("a router that heard the ledger from its writer is not refused for an old revision")
+TEST_CASE("a router that received the ledger from its writer is not refused for an old revision")
 {
     PrepaidSimulation sim(2, {{TestCustomer, Total}});
     sim.setLedgerBroadcast(true);
@@ -424,10 +425,11 @@
     CHECK(sim.returnGrants(0));
 }
 
-TEST_CASE("a predecessor's write that lands late binds by its mark, as old as it is")
+TEST_CASE("a predecessor's write that takes effect late is limited by its mark at that mark's age")
 {
-    // The overspend that this forbids: a process dies while its first write is on its way; the next one finds nothing
-    // to take over; then the write lands. The grant is there to be spent, but a successor will go by the mark in it.
+    // Guards against an overspend: a process dies while its first write is in flight, and the next one finds nothing to
+    // take over before the write takes effect. The grant can then be spent, but a successor will use the mark in that
+    // write.
     PrepaidSimulation sim(1, {{TestCustomer, Total}});
     sim.sync(0, WriteOutcome::Late);
     sim.kill(0);
@@ -448,10 +450,10 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent >= used);
 }
 
-TEST_CASE("a ledger that is heard before the first write does not undo what the predecessor is charged")
+TEST_CASE("a ledger received before the first write does not undo the charge for the predecessor")
 {
-    // The overspend that this forbids: a process has read the records and charged its predecessor, but not written
-    // yet. Another router tells it a newer ledger, without that charge; a write from there would give it back.
+    // Guards against an overspend: a process has read the records and charged its predecessor, but has not written yet.
+    // Another router sends it a newer ledger without that charge; a write based on it would return the charged tokens.
     PrepaidSimulation sim = startedSimulation(2);
     serve(sim, 0, 40, 1000);
     sim.kill(0);
@@ -468,7 +470,7 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent >= 40'000);
 }
 
-TEST_CASE("crumbs of the room are left where all can draw them")
+TEST_CASE("small unallocated remainders are left where every router can draw them")
 {
     PrepaidSimulation sim = startedSimulation(1, 100'000);
     serve(sim, 0, 97, 1000);
@@ -487,7 +489,7 @@
     CHECK(share.accounts.at(TestCustomer).granted > before);
 }
 
-TEST_CASE("near the end large requests leave the rest to small ones")
+TEST_CASE("near the end of a budget large requests leave the rest to small ones")
 {
     PrepaidSimulation sim = startedSimulation(1, 200'000);
     for (int i = 0; i < 30; ++i) {
@@ -508,7 +510,7 @@
 namespace
 {
 
-// One request as a router takes it. True when it was served.
+// Handles one request as a router does. Returns whether it was served.
 bool serveUnlessReserved(PrepaidSimulation &sim, Tokens size)
 {
     if (wouldUseSmallRequestReserve(sim.share(0), TestCustomer, size, sim.now())) {
@@ -524,9 +526,9 @@
 
 } // namespace
 
-TEST_CASE("the last tokens of a budget do not go to few requests of a middle size")
+TEST_CASE("the last tokens of a budget do not go to a few requests of medium size")
 {
-    // Guards against small requests that are refused at the end since larger ones below the mean size took the rest.
+    // Guards against small requests that are refused at the end because larger ones below the mean size took the rest.
     PrepaidSimulation sim = startedSimulation(1);
     int smallServed = 0;
     int smallSinceLarger = 0;
@@ -546,14 +548,14 @@
     CHECK(sim.spent(TestCustomer) > Total - 500);
 }
 
-TEST_CASE("a death at the very end takes a part of what is kept for small requests, not all")
+TEST_CASE("a crash at the very end of a budget takes a part of the small-request reserve, not all of it")
 {
-    // Guards against marks that run ahead by the demand of requests that are not let in any more.
+    // Guards against a write-ahead that is based on the demand of requests that are no longer admitted.
     PrepaidSimulation sim = startedSimulation(1);
     int larger = 1;
     for (int step = 0; step < 200 && larger > 0; ++step) {
         larger = 0;
-        // A second at a time.
+        // One second per step.
         for (int i = 0; i < 10; ++i) {
             larger += serveUnlessReserved(sim, 12'000) ? 1 : 0;
             larger += serveUnlessReserved(sim, 4000) ? 1 : 0;
@@ -574,9 +576,9 @@
     CHECK(lost <= left / 2);
 }
 
-TEST_CASE("nothing is kept from requests that have no smaller ones beside them")
+TEST_CASE("no tokens are reserved if there are no smaller requests")
 {
-    // Guards against the last tokens of a customer whose requests are alike going unused.
+    // Guards against the last tokens of a customer whose requests are all of one size staying unused.
     PrepaidSimulation sim = startedSimulation(1);
     serve(sim, 0, 30, 4000);
     CHECK(smallRequestReserve(sim.share(0), TestCustomer, 4000, sim.now()) == 0);
@@ -584,9 +586,9 @@
     CHECK(smallRequestReserve(sim.share(0), TestCustomer, 40'000, sim.now()) > 0);
 }
 
-TEST_CASE("what is kept for smaller requests grows with the size and is bounded by a part of the total")
+TEST_CASE("the small-request reserve grows with the request size up to a fraction of the total")
 {
-    // Guards against a burst of small requests that shuts large ones out while much is left.
+    // Guards against a burst of small requests that locks out large ones while much of the budget is left.
     PrepaidSimulation sim = startedSimulation(1);
     for (int i = 0; i < 20; ++i) {
         serve(sim, 0, 1, 4000);
@@ -603,9 +605,9 @@
     CHECK_FALSE(wouldUseSmallRequestReserve(share, TestCustomer, 400'000, sim.now()));
 }
 
-TEST_CASE("a router that is no home keeps tokens for the small requests that its home was asked for")
+TEST_CASE("a router that is not a home reserves tokens for the small requests that its home reported")
 {
-    // Guards against large requests that find no small ones beside them at their own router.
+    // Guards against large requests that take the last tokens at a router that received no small ones itself.
     PrepaidSimulation sim = startedSimulation(2);
     PrepaidShare &share = sim.share(1);
     share.accounts[TestCustomer].isHome = false;
@@ -616,7 +618,7 @@
     CHECK_FALSE(wouldUseSmallRequestReserve(share, TestCustomer, 500, sim.now()));
 }
 
-TEST_CASE("a router that need not hold ahead any more gives back what it has not used")
+TEST_CASE("a router that is no longer a home returns its unused grant")
 {
     PrepaidSimulation sim(2, {{TestCustomer, Total}});
     sim.sync(0, WriteOutcome::Done);
@@ -626,7 +628,7 @@
     sim.sync(0, WriteOutcome::Done);
     CHECK(accountAt(sim, 0).granted == 10'000);
     CHECK(unallocatedTokens(sim.share(0).ledger.accounts.at(TestCustomer)) == Total - 10'000);
-    // It dies: nothing beyond what it has used is charged.
+    // If it dies, no more than what it has used is charged.
     sim.kill(0);
     sim.advance(std::chrono::seconds(60));
     sim.start(0);
@@ -634,15 +636,15 @@
     CHECK(sim.share(0).ledger.accounts.at(TestCustomer).spent == 10'000);
 }
 
-// Guards against a final refusal of a full budget, at the first start of a fleet or for a customer that is new.
-TEST_CASE("all of a total remains of a customer that the ledger does not name yet")
+// Guards against a final refusal of a full budget, at the first start of a fleet or for a new customer.
+TEST_CASE("the whole total remains for a customer that is not in the ledger yet")
 {
     PrepaidSimulation sim = startedSimulation(1);
     sim.share(0).ledger.accounts.erase(TestCustomer);
     CHECK(maxRemaining(sim.share(0), TestCustomer) == Total);
 }
 
-TEST_CASE("what may remain counts what a silent router holds, and what a heard one says")
+TEST_CASE("maxRemaining counts the full grant of a router without a report, and the reported amount otherwise")
 {
     PrepaidSimulation sim = startedSimulation(2);
     sim.share(1).ledgerKnown = false;
@@ -659,8 +661,9 @@
 namespace
 {
 
-// Seven routers serve one customer down to a twentieth of its total; then all lose power for 1.4 s. With `homes` only
-// the first of them holds tokens ahead, and the others ask it. Returns what nobody can account for, as a part.
+// Seven routers serve one customer down to a twentieth of its total; then all lose power for 1.4 s. With `singleHome`
+// only the first of them is a home, and the others request tokens from it. Returns the unaccounted fraction of the
+// total.
 double unaccountedFractionAfterFleetDeath(bool singleHome)
 {
     constexpr std::size_t routers = 7;
@@ -699,17 +702,18 @@
 
 } // namespace
 
-TEST_CASE("a death of all routers near the end of a budget leaves under a fiftieth of it unaccounted")
+TEST_CASE("a crash of all routers near the end of a budget leaves less than a fiftieth of it unaccounted")
 {
-    // After a loss of power everywhere the customer's callers are turned away for the rest of the day though it has
-    // paid for more: each of seven routers had marked a few requests ahead, and all of that counts as used.
+    // After a power failure of the whole fleet the customer's callers were refused for the rest of the day although it
+    // had prepaid more: each of seven routers had written its mark a few requests ahead, and all of that counts as
+    // used.
     const double withSingleHome = unaccountedFractionAfterFleetDeath(true);
     const double withAllHomes = unaccountedFractionAfterFleetDeath(false);
     CHECK(withSingleHome < 0.02);
     CHECK(withAllHomes > 1.5 * withSingleHome);
 }
 
-TEST_CASE("a refused caller is told when the marks will let more be spent")
+TEST_CASE("a refused caller learns when the limits of the marks start to grow")
 {
     PrepaidSimulation sim = startedSimulation(1);
     serve(sim, 0, 40, 1000);
@@ -724,7 +728,7 @@
 namespace
 {
 
-// Requests of 1000 tokens, `perSecond` of them for `time`, and a write every half second unless the store is away.
+// Requests of 1000 tokens at a rate of `perSecond` for `time`, with a write every half second unless the store is away.
 // Returns how many were refused.
 int runRequests(PrepaidSimulation &sim, int perSecond, std::chrono::milliseconds time, bool storeAway)
 {
@@ -747,17 +751,17 @@
 
 } // namespace
 
-TEST_CASE("a customer with plenty left is served through a loss of the store in which more of its callers come")
+TEST_CASE("a customer with plenty left is served through a store outage during which its request rate rises")
 {
-    // Guards against refusals of customers that have paid for minutes more, while their marks stand still.
+    // Guards against refusing customers that have prepaid for minutes more while the limits of their marks are fixed.
     PrepaidSimulation sim = startedSimulation(1, 2'500'000);
     REQUIRE(runRequests(sim, 20, std::chrono::seconds(10), false) == 0);
     CHECK(runRequests(sim, 29, std::chrono::seconds(7), true) == 0);
 }
 
-TEST_CASE("what marks run ahead is the same part of what is left, however much that is")
+TEST_CASE("the write-ahead of marks is at most a fixed fraction of what remains, however much that is")
 {
-    // Guards against a death that costs a customer with little left more than one with much.
+    // Guards against a crash that costs a customer with little left more than one with much.
     for (const Tokens total : {500'000, 800'000, 1'200'000, 2'500'000, 9'000'000}) {
         PrepaidSimulation sim = startedSimulation(1, total);
         runRequests(sim, 20, std::chrono::seconds(6), false);
--- a/godwit/prepaid/share_demand.cpp
+++ b/godwit/prepaid/share_demand.cpp
@@ -1,5 +1,4 @@
-// Recent demand: what a customer lately asked for here, as rates, and what is kept from large requests for smaller
-// ones.
+// Recent demand for a customer at this router, as rates, and the tokens that are reserved for smaller requests.
 
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/prepaid/share_internal.h"
@@ -18,7 +17,7 @@
 namespace
 {
 
-// Weight of the newest request in the mean size.
+// Weight of the newest request in the moving average of the request size.
 constexpr double NewestRequestWeight = 0.1;
 
 constexpr double SizeClassesInOctave = 2;
@@ -29,7 +28,7 @@
         std::lround(SizeClassesInOctave * std::log2(std::max(1.0, static_cast<double>(tokens)))));
 }
 
-// The middle of the class.
+// The centre of the class.
 double sizeOf(SizeClass sizeClass)
 {
     return std::exp2(sizeClass / SizeClassesInOctave);
@@ -40,7 +39,7 @@
     return sum * std::exp(-std::max(0.0, toSeconds(passed)) / toSeconds(memory));
 }
 
-// A decaying sum as a rate. The sum of a short past has not reached its level yet.
+// Converts a decaying sum to a rate. After a short history the sum has not reached its steady state yet.
 double rateOf(double sum, Duration past, Duration memory)
 {
     const double seconds = toSeconds(memory);
@@ -81,14 +80,14 @@
         : 0;
 }
 
-// What this router knows of the demand at all routers.
+// Demand at all routers, as far as this router knows it.
 std::map<SizeClass, double> fleetDemandBySize(const PrepaidShare &share, const CustomerId &customer, TimePoint now)
 {
     std::map<SizeClass, double> rates = demandBySize(share, customer, now);
     const ShareAccount *account = accountOf(share, customer);
     for (const auto &[holder, held] : peerHoldingsOf(share, customer)) {
         for (const auto &[sizeClass, rate] : held.demandBySize) {
-            // A home has been asked for this router's requests as well.
+            // A home's demand already includes the requests that this router forwarded to it.
             double &known = rates[sizeClass];
             known = account != nullptr && account->isHome ? known + rate : std::max(known, rate);
         }
@@ -96,9 +95,10 @@
     return rates;
 }
 
-// If requests may cease at any moment, with a mean of keepForSmaller until then, a token is better kept for a request
-// that is n times smaller as long as that one comes with a chance of over 1 / n: for keepForSmaller * ln(n). The size
-// that is still served then falls steadily with what is left, and a budget of requests of one size is used to its end.
+// Assume that requests may cease at any moment, after smallRequestReserveTime on average. A token is then better kept
+// for a request that is n times smaller as long as such a request arrives with a probability above 1 / n, that is for
+// smallRequestReserveTime * ln(n). The size that is still served thus falls steadily with what is left, and a budget
+// whose requests are all of one size is used to its end.
 double smallRequestReserveFor(const PrepaidShare &share,
                               const CustomerId &customer,
                               double size,
@@ -118,7 +118,7 @@
 {
     add(share.options, account.demand, tokens, now);
     add(share.options, account.demandBySize[sizeClassOf(tokens)], tokens, now);
-    // The first request counts in full.
+    // The first request sets the average.
     const double newest = account.meanRequestSize > 0 ? NewestRequestWeight : 1.0;
     account.meanRequestSize += newest * (static_cast<double>(tokens) - account.meanRequestSize);
 }
--- a/godwit/prepaid/share_records.cpp
+++ b/godwit/prepaid/share_records.cpp
@@ -1,4 +1,4 @@
-// Records read from the platform: taking over from an earlier process on this host, and what an unanswered write did.
+// Records read from the store: takeover from an earlier process on this host, and the outcome of unanswered writes.
 
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/prepaid/share_internal.h"
@@ -23,11 +23,12 @@
     return a > b ? a - b : b - a;
 }
 
-// How old an earlier process's mark may have been when this process started; unset when the clocks can't tell.
+// Upper bound on the age of an earlier process's mark when this process started; unset if the clocks cannot tell.
 //
-// The time of day may have been stepped, and the step taken back since. So the mark has its time in two ways: by the
-// time of day when it was written, and by the one that its writer started with. A step before the mark is in only one
-// of them, so that the greater age is not too small; after a step back the writer itself went by the time of day.
+// The time of day may have been stepped, and the step may have been reverted since. The record therefore has two times:
+// the time of day when it was written, and the time of day when the writer started plus the uptime since. A step before
+// the write affects just one of them, so that the larger age is not too small; after a step back the writer itself went
+// by the time of day.
 std::optional<std::chrono::milliseconds> markAgeAtStart(const PrepaidOptions &options, const MarkRecord &mark)
 {
     using std::chrono::milliseconds;
@@ -42,7 +43,7 @@
     if (sameBoot && difference <= options.clockAgreement) {
         return uptime + options.markAgeMargin;
     }
-    // Where each process has an uptime of its own, or after a restart of the host, the time of day has to do.
+    // If each process has its own uptime, or after a reboot of the host, only the time of day is available.
     milliseconds age = std::max(byDay, bySteadyDay);
     if (age < milliseconds(0)) {
         return std::nullopt;
@@ -60,7 +61,7 @@
     });
 }
 
-// Charges what an earlier process on this host may have used and gives the rest of its grant back.
+// Charges what an earlier process on this host may have used, and returns the rest of its grant.
 void settlePredecessor(PrepaidShare &share, PrepaidLedger &ledger, const std::optional<MarkRecord> &mark)
 {
     share.predecessorMarkAge = mark ? markAgeAtStart(share.options, *mark) : std::nullopt;
@@ -77,7 +78,7 @@
             const Tokens limit =
                 share.predecessorMarkAge ? limitAtAge(found, *share.predecessorMarkAge) : maxLimitOf(found);
             charge = std::min(charge, limit);
-            // It had used this much when it wrote the mark, and may have received tokens since.
+            // This much was used when the mark was written; the process may have received tokens since.
             unsure = charge - std::min(charge, found.used);
         }
         account.spent += charge;
@@ -86,7 +87,7 @@
     }
 }
 
-// The room as the newer of document and ledger gives the total.
+// The unallocated tokens under the total of the document or of the ledger, whichever is newer.
 Tokens unallocatedUnderNewestTotal(const PrepaidShare &share, const PrepaidLedger &ledger, const CustomerId &customer)
 {
     const auto entry = ledger.accounts.find(customer);
@@ -108,24 +109,26 @@
                    std::uint64_t markRevision)
 {
     const bool ownMark = mark && mark->writer == share.options.incarnation;
-    // Giving back once more would return tokens that others sent a second time, to be spent twice.
+    // A second return would also return the tokens that other routers sent a second time, and so allow them to be spent
+    // twice.
     share.returned = share.returned || (ownMark && mark->returned);
     share.predecessorSettled = share.predecessorSettled || ownMark;
     const bool nothingLeft = !mark || mark->returned;
     if (!share.predecessorSettled && nothingLeft && !hasAnyGrant(ledger, share.options.self)) {
-        // Nothing to take over, so that nothing has to be written before this process counts as ready.
+        // With nothing to take over, this process is ready without a write.
         share.predecessorSettled = true;
     }
     if (!share.predecessorSettled) {
         settlePredecessor(share, ledger, mark);
     } else {
         if (mark && share.markWrittenAt.wall.count() == 0) {
-            // An earlier process's write has landed after this one's first reading. A successor will go by its mark.
+            // A write of an earlier process took effect after this process had first read the records. A successor will
+            // use its mark.
             share.markWrittenAt = mark->writtenAt;
             share.shortestFixedPeriod = shortestFixedPeriod(*mark);
             share.markAge = std::chrono::milliseconds(0);
         }
-        // What an unanswered write did shows here.
+        // The records show whether an unanswered write took effect.
         for (auto &[customer, account] : share.accounts) {
             account.granted = grantedTo(ledger, customer, share.options.self);
             account.mark = mark && mark->marks.count(customer) != 0 ? mark->marks.at(customer) : Mark{};
@@ -141,8 +144,8 @@
 
 void onLedgerUpdate(PrepaidShare &share, PrepaidLedger ledger, std::uint64_t ledgerRevision)
 {
-    // While a write is open its condition decides; while the records are in doubt they have to be read. Before the
-    // first write of this process its own copy has what its predecessor is charged, which would be lost.
+    // The condition of an open write detects a newer ledger, and records in doubt must be read anyway. Before this
+    // process's first write, its copy of the ledger holds the charge for its predecessor, which would be lost.
     if (!share.predecessorSettled || share.writing || !share.ledgerKnown || ledgerRevision <= share.ledgerRevision) {
         return;
     }
--- a/godwit/prepaid/share_targets.cpp
+++ b/godwit/prepaid/share_targets.cpp
@@ -1,4 +1,4 @@
-// What the next write should ask for: the grant, the marks, and how often to write them.
+// Targets of the next write: the grant, the marks, and the interval between marks.
 
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/prepaid/share_internal.h"
@@ -16,7 +16,7 @@
 namespace
 {
 
-// This router's part of what all routers together would hold, by their demand.
+// This router's fraction of the fleet's demand.
 double fairFraction(const PrepaidShare &share, const CustomerId &customer, const ShareAccount &account, TimePoint now)
 {
     const double own = demandNow(share, account, now);
@@ -27,15 +27,15 @@
     return all > 0 ? own / all : 1.0;
 }
 
-// How far a customer's marks run ahead of what is used, as a time of `demand`, and how long they bind.
+// The write-ahead of a customer's mark, as a time at rate `demand`, and how long the limit stays fixed.
 struct MarkTiming
 {
-    double demand = 0; // Tokens a second.
+    double demand = 0; // Tokens per second.
     Duration writeAhead{};
     std::chrono::milliseconds fixedPeriod{};
 };
 
-// The same part of what is left for each customer that is not marked closely, so that a death costs none of them more.
+// The same fraction of what remains for every customer without tight marks, so that a crash costs each of them alike.
 std::chrono::milliseconds usualWriteAhead(const PrepaidOptions &options, double untilUsedUp)
 {
     const double part = toSeconds(options.markWriteAhead) / toSeconds(options.tightMarkThreshold);
@@ -46,7 +46,7 @@
 MarkTiming markTiming(const PrepaidShare &share, const CustomerId &customer, const ShareAccount &account, TimePoint now)
 {
     const PrepaidOptions &options = share.options;
-    // In a large fleet marks are written less often, and have to last as long.
+    // In a large fleet marks are written less often and have to last longer.
     const std::chrono::milliseconds least = markInterval(share) * 6 / 5;
     const std::chrono::milliseconds usual = std::max(options.markWriteAhead, least);
     const double demand = demandNow(share, account, now);
@@ -62,7 +62,8 @@
                                            usual);
         return {admitted, writeAhead, std::max(options.tightFixedPeriod, writeAhead)};
     }
-    // It binds no longer than usual: what grows afterwards grows faster than the demand.
+    // The fixed period is not extended along with the write-ahead: the growth that follows it is faster than the
+    // demand.
     return {demand, std::max(usualWriteAhead(options, untilUsedUp), least), usual};
 }
 
@@ -94,11 +95,11 @@
         return grantWithin(account, unallocated);
     }
     if (!account.isHome) {
-        // A reservation or a received amount may still be open; the rest goes back.
+        // A reservation or a received amount may still be open; the rest is returned.
         return std::clamp<Tokens>(committed(account), 0, account.granted);
     }
     const auto idle = static_cast<Tokens>(options.idleFraction * static_cast<double>(unallocated));
-    // One usual request at least; a larger one asks for what it lacks.
+    // At least one mean request; a larger request adds its shortfall.
     const Tokens least = std::max(static_cast<Tokens>(account.meanRequestSize), account.shortfall);
     const Tokens wanted = std::max({idle, least, expectedDemand(share, account, options.grantPeriod, now)});
     if (static_cast<double>(unused) > options.returnThresholdFactor * static_cast<double>(wanted)) {
@@ -113,7 +114,8 @@
         static_cast<Tokens>(fairFraction(share, customer, account, now) * static_cast<double>(unallocated));
     const Tokens lacking = std::max<Tokens>(0, account.shortfall - unused);
     const Tokens more = std::clamp<Tokens>(wanted - unused, 0, std::max(part, std::min(lacking, unallocated)));
-    // Crumbs stay where every router can draw them: shared out they serve nobody, and each would cost a write.
+    // Small remainders stay unallocated, where every router can draw them: divided up they serve no request, and each
+    // draw costs a write.
     const bool meetsShortfall = lacking > 0 && more >= lacking;
     const bool tooSmall =
         !meetsShortfall && static_cast<double>(more) < options.minDrawFraction * account.meanRequestSize;
@@ -131,14 +133,14 @@
     const double desired = std::min(share.options.markGrowthFactor * demand, std::max(demand, fastest));
     double perSecond = std::max(desired, account.meanRequestSize);
     if (account.meanRequestSize <= 0) {
-        // Without demand yet: the first requests should not wait for a write.
+        // Without demand so far: the first requests should not have to wait for a write.
         ahead = std::max(granted / 50, account.shortfall);
         perSecond = static_cast<double>(granted) / toSeconds(share.options.grantPeriod);
     }
     Mark mark;
     mark.used = committed(account);
-    // Tokens that other routers sent are beyond any grant and need no mark; without this bound the mark of a router
-    // that was sent many would keep it from spending them.
+    // Tokens received from other routers are not part of a grant and need no mark. Without the lower bound of 0, the
+    // mark of a router that received many tokens would be negative and keep it from spending them.
     mark.limit = std::min(granted, std::max<Tokens>(0, mark.used) + ahead);
     mark.growthPerSecond = static_cast<Tokens>(perSecond);
     mark.fixedPeriod = timing.fixedPeriod;
@@ -148,7 +150,7 @@
 bool markIsLow(const PrepaidShare &share, const CustomerId &customer, const ShareAccount &account, TimePoint now)
 {
     const Tokens left = account.mark.limit - committed(account);
-    // Half of the lead may be used before the mark counts as low.
+    // Half of the write-ahead may be used before the mark counts as low.
     const Tokens refill = writeAheadTokens(markTiming(share, customer, account, now)) / 2;
     return account.mark.limit < account.granted && left < std::max(refill, account.shortfall);
 }
--- a/godwit/prepaid/share_transfers.cpp
+++ b/godwit/prepaid/share_transfers.cpp
@@ -1,4 +1,4 @@
-// Tokens that move between routers, and the wishes that wait for them.
+// Transfers of tokens between routers, and the queued requests for them.
 
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/prepaid/share_internal.h"
--- a/godwit/prepaid/share_transfers_test.cpp
+++ b/godwit/prepaid/share_transfers_test.cpp
@@ -1,4 +1,4 @@
-// Tokens that move between routers.
+// Transfers of tokens between routers.
 
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/prepaid/testing_single_customer.h"
@@ -8,7 +8,7 @@
 using namespace Godwit;
 using namespace Godwit::Testing;
 
-TEST_CASE("tokens that move between routers are there once")
+TEST_CASE("transferred tokens exist only once")
 {
     PrepaidSimulation sim = startedSimulation(2);
     const Tokens both = headroom(sim.share(0), TestCustomer) + headroom(sim.share(1), TestCustomer);
@@ -18,10 +18,10 @@
     CHECK(headroom(sim.share(0), TestCustomer) + headroom(sim.share(1), TestCustomer) == both - 1000);
 }
 
-TEST_CASE("a request that waits elsewhere gets all that nobody here waits for")
+TEST_CASE("a request that waits at another router gets all tokens that no request waits for here")
 {
-    // Near the end of a budget what is left lies in small parts at all routers. The caller of a request that needs
-    // them all is served only if none of them keeps half for requests that may never come.
+    // Near the end of a budget what is left is spread over all routers. A request that needs all of it is served only
+    // if none of them keeps half for requests that may never arrive.
     PrepaidSimulation sim = startedSimulation(2, 40'000);
     for (int i = 0; i < 40; ++i) {
         sim.request(0, TestCustomer, 100);
@@ -43,10 +43,10 @@
     CHECK(headroom(sim.share(0), TestCustomer) == 0);
 }
 
-TEST_CASE("a router that holds nothing ahead serves from what others send, without a write of its own")
+TEST_CASE("a router that is not a home serves from received tokens, without a write of its own")
 {
-    // Of a large fleet few routers draw tokens. A caller of any other is served once a holder has sent what its request
-    // needs, also when that router has never written anything.
+    // In a large fleet few routers draw grants. Callers of any other router are served once a holder has sent the
+    // tokens that their request needs, even if that router has never written anything.
     PrepaidSimulation sim(2, {{TestCustomer, Total}});
     sim.sync(0, WriteOutcome::Done);
     PrepaidShare &share = sim.share(1);
@@ -66,10 +66,10 @@
     CHECK_FALSE(sim.request(1, TestCustomer, 1));
 }
 
-TEST_CASE("a router that holds only what others sent it writes no marks")
+TEST_CASE("a router that holds only received tokens writes no marks")
 {
-    // Nearly every router of a large fleet keeps some tokens that a home sent. Each wrote a mark that said nothing,
-    // time and again: the store got three times the writes that the homes need.
+    // Nearly every router of a large fleet holds some tokens that a home sent. When each of them kept writing marks
+    // without effect, the store got three times the writes that the homes need.
     PrepaidSimulation sim(2, {{TestCustomer, Total}});
     sim.sync(0, WriteOutcome::Done);
     PrepaidShare &share = sim.share(1);
@@ -86,10 +86,10 @@
     CHECK(share.markRevision == revision);
 }
 
-TEST_CASE("a router spends all that others sent it, however much it was sent")
+TEST_CASE("a router can spend all tokens it received, however many")
 {
-    // Callers are refused for many seconds while their router holds enough: it had been sent tokens, so that by its own
-    // count it had used less than nothing, and its mark stood below nothing as well.
+    // Guards against refusals that lasted for many seconds while the router held enough: it had received tokens, so
+    // that its net usage and hence the limit of its mark were negative.
     const CustomerId own{"own"};
     PrepaidSimulation sim(2, {{TestCustomer, Total}, {own, Total}});
     sim.sync(0, WriteOutcome::Done);
@@ -110,7 +110,7 @@
     CHECK(sim.request(1, TestCustomer, 8000));
 }
 
-TEST_CASE("a wish that can't be met waits for the next write, and is met once")
+TEST_CASE("a transfer request that cannot be met waits for the next write and is met once")
 {
     PrepaidSimulation sim(2, {{TestCustomer, Total}});
     sim.sync(0, WriteOutcome::Done);
@@ -127,14 +127,14 @@
     sim.serveTransferRequests(0, false);
     CHECK(headroom(sim.share(1), TestCustomer) == more);
     CHECK(sim.request(1, TestCustomer, more));
-    // What was left over goes back to the home.
+    // The unused tokens go back to the home.
     sim.finish(1, more - 300);
     const TokenTransfer left = takeUnusedTokens(sim.share(1), TestCustomer, HolderId{"host-0"});
     CHECK(left.amount == 300);
     CHECK(headroom(sim.share(1), TestCustomer) == 0);
 }
 
-TEST_CASE("a wish whose request waits no longer is not met")
+TEST_CASE("an expired transfer request is not met")
 {
     PrepaidSimulation sim(2, {{TestCustomer, Total}});
     sim.sync(0, WriteOutcome::Done);
--- a/godwit/prepaid/share_writes.cpp
+++ b/godwit/prepaid/share_writes.cpp
@@ -1,4 +1,4 @@
-// Writes to the platform: when one is due, what it says, and what each outcome leaves.
+// Writes to the store: when one is due, what it contains, and the effects of each outcome.
 
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/prepaid/share_internal.h"
@@ -21,7 +21,7 @@
 namespace
 {
 
-// The total to use in a write: never one of an older document than the ledger has seen.
+// Sets the totals for a write, never from a document older than the ledger's.
 void adoptTotals(PrepaidShare &share, PrepaidLedger &ledger)
 {
     if (ledger.documentVersion > share.documentVersion) {
@@ -31,7 +31,8 @@
         LedgerAccount &entry = ledger.accounts[customer];
         if (account.bounded && entry.total != account.total) {
             entry.total = account.total;
-            // Only versions that change a total are written: the others would make each router write.
+            // Only document versions that change a total are recorded; otherwise each new version would make every
+            // router write.
             ledger.documentVersion = share.documentVersion;
         }
     }
@@ -55,7 +56,7 @@
     }
 }
 
-// A write of the mark alone leaves the grants as they are.
+// A write of the mark record alone leaves the grants as they are.
 void limitToGrants(PrepaidShare &share, MarkRecord &mark)
 {
     for (auto &[customer, entry] : mark.marks) {
@@ -105,7 +106,7 @@
 bool updateMarkAge(PrepaidShare &share, const HostTime &hostTime)
 {
     const HostTime &written = share.markWrittenAt;
-    // By both clocks: a successor may have only the time of day to go by, and that may have been set back.
+    // By both clocks: a successor may have only the time of day, and that may have been set back.
     share.markAge = std::max(std::chrono::milliseconds(0),
                              std::min(hostTime.uptime - written.uptime, hostTime.wall - written.wall));
     share.markLimitsFixed = written.wall.count() > 0 && share.markAge < share.shortestFixedPeriod;
@@ -145,10 +146,10 @@
         if (granted == 0) {
             entry.granted.erase(share.options.self);
         }
-        // Tokens that others sent are no part of a grant.
+        // Tokens received from other routers are not part of a grant.
         holdsAny = holdsAny || granted > std::max<Tokens>(0, committed(account));
         const bool low = markIsLow(share, customer, account, now);
-        // A waiting request is a reason to hurry only if the write can help it.
+        // A waiting request makes the write urgent only if the write can help it.
         const bool markHelps = account.shortfall > 0 && low && account.shortfall <= unusedGrant(share, customer);
         urgent = urgent || markHelps || (account.shortfall > 0 && granted > account.granted);
         markSuffices = markSuffices && (account.shortfall == 0 || markHelps);
@@ -160,17 +161,17 @@
         account.shortfall = 0;
     }
     share.pendingMarks = mark.marks;
-    // The mark is this router's own, so that its write is never refused because another router was faster. Where the
-    // ledger is contended a mark that is overdue goes first: it would grow old, and with it what a death costs.
+    // The mark record is written by this router alone, so that its write never loses to another router's. While the
+    // ledger is contended an overdue mark is written first: the cost of a crash grows with its age.
     const bool markOverdue = share.predecessorSettled && share.ledgerContended && markIsOld;
     if ((anyWaits && markSuffices) || (ledgerChanges && markOverdue)) {
         ledgerChanges = false;
-        // The ledger's turn is next, whatever else is due.
+        // The next write includes the ledger, whatever else is due.
         share.ledgerContended = false;
         limitToGrants(share, mark);
     }
-    // A little shorter than the time between two marks, which the caller's ticks would else stretch.
-    // A mark of a router that holds nothing unused says nothing: its successor charges no more than the grant.
+    // A mark without unused tokens has no effect, since a successor charges no more than the grant. The interval is
+    // slightly shortened, as the period of the caller's ticks would otherwise lengthen it.
     markLow = markLow && holdsAny;
     const Duration usual = Duration(markInterval(share)) * 9 / 10;
     const Duration interval = urgent ? share.options.urgentInterval : usual;
@@ -210,7 +211,7 @@
         }
         entry->second.granted.erase(share.options.self);
         entry->second.spent += committed(account);
-        // Nothing may be spent once this is on its way, whatever becomes of it.
+        // Nothing may be spent once the write has been sent, whatever its outcome.
         share.pendingGrants[customer] = committed(account);
     }
     ShareWrite write;
@@ -225,7 +226,7 @@
     share.pendingWritesLedger = true;
     share.writing = true;
     share.lastWriteWasReturn = true;
-    // If it is refused, the mark that stands is as old as it was.
+    // If the write is refused, the age of the stored mark is unchanged.
     share.previousMarkWrittenAt = share.markWrittenAt;
     share.previousWriteAt = std::exchange(share.lastWriteAt, now);
     return write;
@@ -240,7 +241,7 @@
     }
     for (const auto &[customer, granted] : share.pendingGrants) {
         ShareAccount &account = share.accounts[customer];
-        // A total that was lowered meanwhile has taken the grant down to what is committed.
+        // If a total was lowered in the meantime, the grant has been reduced to what is committed.
         account.granted = share.ledgerKnown ? granted : std::min(granted, committed(account));
     }
     for (const auto &[customer, mark] : share.pendingMarks) {
@@ -262,7 +263,7 @@
 {
     share.markWrittenAt = share.previousMarkWrittenAt;
     if (conditionFailed) {
-        // What stands is known now: the next try need not wait.
+        // The newer records are known now, so the retry need not wait.
         share.lastWriteAt = share.previousWriteAt;
     }
     share.ledgerContended = share.ledgerContended || (conditionFailed && share.pendingWritesLedger);
--- a/godwit/prepaid/testing_simulation.cpp
+++ b/godwit/prepaid/testing_simulation.cpp
@@ -109,7 +109,7 @@
     }
 }
 
-// As over links that lose nothing.
+// As if over links without losses.
 void PrepaidSimulation::broadcastLedger(std::size_t writer, const ShareWrite &write, std::uint64_t revision)
 {
     LastReason reason;
--- a/godwit/prepaid/testing_simulation.h
+++ b/godwit/prepaid/testing_simulation.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// A small world for tests of PrepaidShare: routers that die, freeze and come back, a store that loses answers and does
-// writes late, and an oracle that counts what was really spent.
+// Simulation of several routers and the store for tests of PrepaidShare: routers crash, pause and restart, the store
+// loses responses and applies writes late, and an oracle counts what was really spent.
 //
 // Example:
-//   World world(4, {{customer, 100'000}});
-//   world.request(0, customer, 900);
-//   world.kill(0);
-//   REQUIRE(world.spent(customer) <= 100'000);
+//   PrepaidSimulation sim(4, {{customer, 100'000}});
+//   sim.request(0, customer, 900);
+//   sim.kill(0);
+//   REQUIRE(sim.spent(customer) <= 100'000);
 
 #include "godwit/prepaid/prepaid_share.h"
 
@@ -21,12 +21,12 @@
 namespace Godwit::Testing
 {
 
-// What becomes of one write.
+// Outcome of one write.
 enum class WriteOutcome {
     Done,
-    Refused, // The store did nothing and said so.
-    AnswerLost, // Done, and the router hears nothing.
-    Late, // The router hears nothing; done some time later if its conditions still hold.
+    Refused, // Not applied, and the router gets the refusal.
+    AnswerLost, // Applied, but the router gets no response.
+    Late, // The router gets no response; applied later if its conditions still hold.
 };
 
 struct StoredValue
@@ -49,10 +49,10 @@
 
 struct Router
 {
-    std::optional<PrepaidShare> share; // Absent while it is dead.
+    std::optional<PrepaidShare> share; // Unset while the router is dead.
     std::vector<Reservation> open;
     int starts = 0;
-    std::chrono::milliseconds uptimeOffset{}; // Changes with each restart of its host.
+    std::chrono::milliseconds uptimeOffset{}; // Changes with each reboot of its host.
 };
 
 class PrepaidSimulation
@@ -61,32 +61,34 @@
     PrepaidSimulation(std::size_t routers, std::map<CustomerId, Tokens> totals);
 
     void advance(Duration time);
-    // The time of day of all hosts jumps; the uptime goes on.
+    // Steps the time of day of all hosts; the uptime is not affected.
     void stepClock(std::chrono::milliseconds by);
 
     void start(std::size_t router);
-    // What was reserved counts as spent: the endpoint may have run it to the end.
+    // Open reservations count as spent: the endpoint may have completed the request.
     void kill(std::size_t router);
-    // The same, and the uptime of its host starts anew.
+    // Like kill(), and the host's uptime restarts.
     void losePower(std::size_t router);
 
-    // Reads, plans and writes once, if the router has something to write.
+    // Reads the records if needed, plans a write and performs it if one is due.
     void sync(std::size_t router, WriteOutcome outcome);
     void applyLateWrites();
-    // Gives all back, as at a planned stop. Open requests end first. Returns whether the router knows that it has.
+    // Ends the open requests and returns all grants, as in a planned stop. Returns whether the router knows that the
+    // return took effect.
     bool returnGrants(std::size_t router, WriteOutcome outcome = WriteOutcome::Done);
 
     bool request(std::size_t router, const CustomerId &customer, Tokens tokens);
-    // Ends the oldest open request; `used` is cut to what was reserved.
+    // Ends the oldest open request; `used` is capped at the reserved amount.
     void finish(std::size_t router, Tokens used);
-    // `lost`: the message never arrives. `lacking`: of the wanted ones, what a waiting request needs.
+    // Transfers tokens as one router's answer to another. `lost`: the message never arrives. `shortfall`: the part of
+    // `wanted` that waiting requests need.
     void moveTokens(
         std::size_t from, std::size_t to, const CustomerId &customer, Tokens wanted, bool lost, Tokens shortfall = 0);
-    // Router `to` asks `from` for what a request needs; the wish waits there if it must. `lost`: the gift never
-    // arrives.
+    // Router `to` requests from `from` the tokens that a call needs; the request is queued there if they are not
+    // available. `lost`: the transfer never arrives.
     void requestTokens(std::size_t from, std::size_t to, const CustomerId &customer, Tokens needed, bool lost);
     void serveTransferRequests(std::size_t from, bool lost);
-    // Whether routers tell each other the ledger that they have written; at first they don't.
+    // Whether routers send each other the ledger after a write; off by default.
     void setLedgerBroadcast(bool enabled)
     {
         m_ledgerBroadcast = enabled;
@@ -94,7 +96,7 @@
 
     void setTotal(const CustomerId &customer, Tokens total);
 
-    // All that was really used or may have been, by requests that have ended or whose router has died.
+    // Tokens that were or may have been used by requests that have ended or whose router has died.
     Tokens spent(const CustomerId &customer) const;
     PrepaidShare &share(std::size_t router);
     bool isAlive(std::size_t router) const;
--- a/godwit/prepaid/token_prefetch.cpp
+++ b/godwit/prepaid/token_prefetch.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-// The longest of the last exchanges counts, and fades to half within some seven.
+// Decay of the longest exchange time with each further exchange: to half after about seven.
 constexpr double DecayFactor = 0.9;
 
-// Of a customer whose requests of the next moment need `needed`; 0 when that is there.
+// Amount to prefetch if the requests of the period need `needed` tokens; 0 if enough of them are here.
 Tokens prefetchFor(const PrepaidShare &share,
                    const CustomerId &customer,
                    double needed,
--- a/godwit/prepaid/token_prefetch.h
+++ b/godwit/prepaid/token_prefetch.h
@@ -1,16 +1,17 @@
 #pragma once
 
-// What a router that is not a customer's home keeps of the customer's tokens for the requests of the next moment.
+// Prefetching of tokens by routers that are not a customer's home.
 //
-// Without any, each request waits for an exchange with the home. That takes some 3 ms on an idle link, and longer than
-// a request may wait on one that is full: a customer whose callers all keep to one small host is then refused while its
-// home holds plenty, and its callers come back on top of the new ones. So as much is kept as exchanges lately took
-// time, several times over. What is kept is lost with its router, so it is little where exchanges are quick, and
-// nothing at all near the end of a budget.
+// Without prefetched tokens every request waits for an exchange with the home. That takes some 3 ms on an idle link,
+// but on a saturated one longer than a request may wait: a customer whose callers all use one small host would be
+// refused while its home holds plenty, and the retries would add to the load. A router therefore prefetches the demand
+// of a multiple of the recent exchange time. Prefetched tokens are lost if the router dies, so the amount is small
+// while exchanges are fast, and zero near the end of a budget.
 //
 // Pure. Example:
-//   noteExchange(time, tookMs);
-//   for (const TokensWanted &wanted : tokensAhead(share, aheadTime(time, options), options, now)) { ask(wanted); }
+//   noteExchange(time, took);
+//   const Duration period = prefetchTime(time, options);
+//   for (const PrefetchAmount &wanted : tokensToPrefetch(share, period, options, now)) { request(wanted); }
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -23,17 +24,18 @@
 
 struct TokenPrefetchOptions
 {
-    // An exchange is asked for when half of what is kept is used, and the demand may be twice what it was.
+    // Multiple of the exchange time: a refill starts when half of the prefetched tokens are used, and the demand may
+    // double.
     double exchangeMultiple = 4;
-    // A home that draws first answers within some 50 ms, and a burst of requests comes sooner than the next look.
+    // A home that has to draw first answers within some 50 ms, and a burst arrives faster than the next check.
     Duration minTime = std::chrono::milliseconds(250);
-    // More would cost a router's death more than the growth of marks that it is reckoned with.
+    // More than this would make a router's death cost more than the assumed growth of its marks.
     Duration maxTime = std::chrono::milliseconds(600);
-    // Nothing is kept when less than this part of a total is left.
+    // No prefetch if less than this fraction of a total remains.
     double minRemainingFraction = 0.15;
 };
 
-// How long exchanges with homes lately took.
+// Recent duration of exchanges with homes.
 struct ExchangeTime
 {
     Duration recent{};
@@ -41,7 +43,7 @@
 
 void noteExchange(ExchangeTime &time, Duration took);
 
-// For how long a time of its demand a router keeps tokens.
+// The period whose demand a router prefetches.
 Duration prefetchTime(const ExchangeTime &time, const TokenPrefetchOptions &options);
 
 struct PrefetchAmount
@@ -50,8 +52,9 @@
     Tokens tokens = 0;
 };
 
-// What a router wants to hold of the customers that are at home elsewhere; none of which it holds enough. Looks at
-// those alone that were asked for here lately, and forgets the others: a router serves few of all customers at a time.
+// Amounts to prefetch for customers whose home is another router, where this router holds too little. Checks only
+// customers with recent demand here, and removes those whose demand has ceased from that list: a router serves few of
+// all customers at a time.
 std::vector<PrefetchAmount> tokensToPrefetch(PrepaidShare &share,
                                              Duration period,
                                              const TokenPrefetchOptions &options,
--- a/godwit/prepaid/token_prefetch_test.cpp
+++ b/godwit/prepaid/token_prefetch_test.cpp
@@ -13,7 +13,7 @@
 constexpr Tokens Total = 50'000'000;
 constexpr Tokens Size = 9000;
 
-// The customer is at home elsewhere, where so much remains of its total.
+// A share of a router that is not the customer's home; `remains` is left of the total according to the home.
 PrepaidShare shareWithRemoteHome(Tokens remains)
 {
     PrepaidShare share = makePrepaidShare({});
@@ -30,7 +30,7 @@
     return wanted.empty() ? 0 : wanted.front().tokens;
 }
 
-// What one router had to refuse of a steady customer that is at home elsewhere, where plenty is held.
+// Result of one router serving a customer with steady demand whose home is another router with plenty of tokens.
 struct Outcome
 {
     int requests = 0;
@@ -38,8 +38,8 @@
     Tokens leftOver = 0;
 };
 
-// A request each 6 ms. One that finds no tokens asks for them and waits 50 ms at most. The home answers each wish in
-// full after `exchange`.
+// One request every 6 ms. A request that finds no tokens asks the home for them and waits 50 ms at most. The home
+// answers each request in full after `exchange`.
 Outcome serve(Duration exchange, bool prefetches)
 {
     struct PendingRequest
@@ -99,10 +99,10 @@
 
 } // namespace
 
-TEST_CASE("a customer whose callers keep to one small host is not refused while its home holds plenty")
+TEST_CASE("a customer whose callers all use one small host is not refused while its home holds plenty")
 {
-    // The caller is told to come back, again and again. The host's link is full, so that an exchange with the home
-    // takes three times as long as a request may wait; tokens for it arrive when it has been refused.
+    // The host's link is saturated, so that an exchange with the home takes three times as long as a request may wait;
+    // the tokens arrive when the request has been refused, and its caller retries again and again.
     constexpr Duration slowExchange = std::chrono::milliseconds(150);
     const Outcome without = serve(slowExchange, false);
     const Outcome with = serve(slowExchange, true);
@@ -110,16 +110,16 @@
     CHECK(with.refused < with.requests / 20);
 }
 
-TEST_CASE("where exchanges are quick little is kept, since it would be lost with its router")
+TEST_CASE("little is prefetched while exchanges are fast, since it would be lost with the router")
 {
     const Outcome quick = serve(std::chrono::milliseconds(3), true);
     const auto requests = TokenPrefetchOptions().minTime / std::chrono::milliseconds(6);
     CHECK(quick.refused == 0);
-    // A steady demand is known to within a tenth.
+    // A steady demand is estimated to within a tenth.
     CHECK(quick.leftOver <= Size * requests * 11 / 10);
 }
 
-TEST_CASE("nothing is kept near the end of a budget, or at the customer's home")
+TEST_CASE("nothing is prefetched near the end of a budget, or at the customer's home")
 {
     const TokenPrefetchOptions options;
     const TimePoint now = TimePoint{} + std::chrono::seconds(1);
@@ -134,10 +134,10 @@
     CHECK_FALSE(prefetches(atHome));
 }
 
-TEST_CASE("of many customers those alone are looked at that were asked for lately")
+TEST_CASE("only customers with recent demand are checked")
 {
-    // A router of a platform with hundreds of thousands of budgets spent its processor time on looking through them
-    // all, twenty times a second.
+    // With hundreds of thousands of budgets, a router spent its processor time on checking all of them twenty times a
+    // second.
     PrepaidShare share = makePrepaidShare({});
     std::map<CustomerId, std::optional<Tokens>> totals;
     for (int i = 0; i < 300; ++i) {
