--- a/godwit/prepaid/prepaid_record.cpp
+++ b/godwit/prepaid/prepaid_record.cpp
@@ -16,7 +16,7 @@
 Tokens integerFromJson(const json &value)
 {
     if (!value.is_number_integer()) {
-        throw json::type_error::create(302, "a whole number is wanted", &value);
+        throw json::type_error::create(302, "expected an integer", &value);
     }
     return value.get<Tokens>();
 }
@@ -49,7 +49,7 @@
 {
     Error result;
     result.kind = ErrorKind::Internal;
-    result.message = std::string(what) + " in the platform can't be read: " + error.what();
+    result.message = std::string(what) + " record from the store is malformed: " + error.what();
     return result;
 }
 
@@ -96,7 +96,7 @@
         }
         return ledger;
     } catch (const json::exception &error) {
-        reason = malformed("the ledger", error);
+        reason = malformed("prepaid ledger", error);
         return std::nullopt;
     }
 }
@@ -142,7 +142,7 @@
         }
         return mark;
     } catch (const json::exception &error) {
-        reason = malformed("a router's mark", error);
+        reason = malformed("prepaid mark", error);
         return std::nullopt;
     }
 }
