--- a/godwit/prepaid/share_demand.cpp
+++ b/godwit/prepaid/share_demand.cpp
@@ -1,5 +1,4 @@
-// Recent demand: what a customer lately asked for here, as rates, and what is kept from large requests for smaller
-// ones.
+// Recent demand for a customer at this router, as rates, and the tokens that are reserved for smaller requests.
 
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/prepaid/share_internal.h"
@@ -13,13 +12,13 @@
 using internal::accountOf;
 using internal::boundedAccount;
 using internal::demandNow;
-using internal::heldByOthers;
+using internal::peerHoldingsOf;
 
 namespace
 {
 
-// Weight of the newest request in the mean size.
-constexpr double MeanSizeNewest = 0.1;
+// Weight of the newest request in the moving average of the request size.
+constexpr double NewestRequestWeight = 0.1;
 
 constexpr double SizeClassesInOctave = 2;
 
@@ -29,7 +28,7 @@
         std::lround(SizeClassesInOctave * std::log2(std::max(1.0, static_cast<double>(tokens)))));
 }
 
-// The middle of the class.
+// The centre of the class.
 double sizeOf(SizeClass sizeClass)
 {
     return std::exp2(sizeClass / SizeClassesInOctave);
@@ -40,7 +39,7 @@
     return sum * std::exp(-std::max(0.0, toSeconds(passed)) / toSeconds(memory));
 }
 
-// A decaying sum as a rate. The sum of a short past has not reached its level yet.
+// Converts a decaying sum to a rate. After a short history the sum has not reached its steady state yet.
 double rateOf(double sum, Duration past, Duration memory)
 {
     const double seconds = toSeconds(memory);
@@ -53,10 +52,11 @@
         return 0;
     }
     const Duration passed = now - demand.at;
-    const Duration past = std::max<Duration>(now - demand.since, options.leastPast);
-    return std::max(options.shortWeight
-                        * rateOf(decayed(demand.shortSum, passed, options.shortMemory), past, options.shortMemory),
-                    rateOf(decayed(demand.longSum, passed, options.longMemory), past, options.longMemory));
+    const Duration past = std::max<Duration>(now - demand.since, options.minRateWindow);
+    return std::max(
+        options.shortWeight
+            * rateOf(decayed(demand.shortSum, passed, options.shortTimeConstant), past, options.shortTimeConstant),
+        rateOf(decayed(demand.longSum, passed, options.longTimeConstant), past, options.longTimeConstant));
 }
 
 void add(const PrepaidOptions &options, RecentDemand &demand, Tokens tokens, TimePoint now)
@@ -66,58 +66,61 @@
         demand.at = now;
     }
     const Duration passed = now - demand.at;
-    demand.shortSum = decayed(demand.shortSum, passed, options.shortMemory) + static_cast<double>(tokens);
-    demand.longSum = decayed(demand.longSum, passed, options.longMemory) + static_cast<double>(tokens);
+    demand.shortSum = decayed(demand.shortSum, passed, options.shortTimeConstant) + static_cast<double>(tokens);
+    demand.longSum = decayed(demand.longSum, passed, options.longTimeConstant) + static_cast<double>(tokens);
     demand.at = now;
 }
 
-Tokens mostKept(const PrepaidShare &share, const CustomerId &customer)
+Tokens maxSmallRequestReserve(const PrepaidShare &share, const CustomerId &customer)
 {
     const ShareAccount *account = accountOf(share, customer);
     const bool bounded = account != nullptr && account->bounded;
-    return bounded ? static_cast<Tokens>(share.options.keepForSmallerPart * static_cast<double>(account->total)) : 0;
+    return bounded
+        ? static_cast<Tokens>(share.options.smallRequestReserveFraction * static_cast<double>(account->total))
+        : 0;
 }
 
-// What this router knows of the demand at all routers.
+// Demand at all routers, as far as this router knows it.
 std::map<SizeClass, double> fleetDemandBySize(const PrepaidShare &share, const CustomerId &customer, TimePoint now)
 {
     std::map<SizeClass, double> rates = demandBySize(share, customer, now);
     const ShareAccount *account = accountOf(share, customer);
-    for (const auto &[holder, held] : heldByOthers(share, customer)) {
+    for (const auto &[holder, held] : peerHoldingsOf(share, customer)) {
         for (const auto &[sizeClass, rate] : held.demandBySize) {
-            // A home has been asked for this router's requests as well.
+            // A home's demand already includes the requests that this router forwarded to it.
             double &known = rates[sizeClass];
-            known = account != nullptr && account->holdsAhead ? known + rate : std::max(known, rate);
+            known = account != nullptr && account->isHome ? known + rate : std::max(known, rate);
         }
     }
     return rates;
 }
 
-// If requests may cease at any moment, with a mean of keepForSmaller until then, a token is better kept for a request
-// that is n times smaller as long as that one comes with a chance of over 1 / n: for keepForSmaller * ln(n). The size
-// that is still served then falls steadily with what is left, and a budget of requests of one size is used to its end.
-double keptFrom(const PrepaidShare &share,
-                const CustomerId &customer,
-                double size,
-                const std::map<SizeClass, double> &demandBySize)
+// Assume that requests may cease at any moment, after smallRequestReserveTime on average. A token is then better kept
+// for a request that is n times smaller as long as such a request arrives with a probability above 1 / n, that is for
+// smallRequestReserveTime * ln(n). The size that is still served thus falls steadily with what is left, and a budget
+// whose requests are all of one size is used to its end.
+double smallRequestReserveFor(const PrepaidShare &share,
+                              const CustomerId &customer,
+                              double size,
+                              const std::map<SizeClass, double> &demandBySize)
 {
     const SizeClass ownClass = sizeClassOf(static_cast<Tokens>(size));
     double kept = 0;
     for (const auto &[sizeClass, rate] : demandBySize) {
         if (sizeClass < ownClass) {
-            kept += rate * toSeconds(share.options.keepForSmaller) * std::log(size / sizeOf(sizeClass));
+            kept += rate * toSeconds(share.options.smallRequestReserveTime) * std::log(size / sizeOf(sizeClass));
         }
     }
-    return std::min(kept, static_cast<double>(mostKept(share, customer)));
+    return std::min(kept, static_cast<double>(maxSmallRequestReserve(share, customer)));
 }
 
 void noteDemand(const PrepaidShare &share, ShareAccount &account, Tokens tokens, TimePoint now)
 {
     add(share.options, account.demand, tokens, now);
     add(share.options, account.demandBySize[sizeClassOf(tokens)], tokens, now);
-    // The first request counts in full.
-    const double newest = account.meanSize > 0 ? MeanSizeNewest : 1.0;
-    account.meanSize += newest * (static_cast<double>(tokens) - account.meanSize);
+    // The first request sets the average.
+    const double newest = account.meanRequestSize > 0 ? NewestRequestWeight : 1.0;
+    account.meanRequestSize += newest * (static_cast<double>(tokens) - account.meanRequestSize);
 }
 
 } // namespace
@@ -130,7 +133,7 @@
     return rateOf(share.options, account.demand, now);
 }
 
-Tokens tokensFor(const PrepaidShare &share, const ShareAccount &account, Duration time, TimePoint now)
+Tokens expectedDemand(const PrepaidShare &share, const ShareAccount &account, Duration time, TimePoint now)
 {
     return static_cast<Tokens>(demandNow(share, account, now) * toSeconds(time));
 }
@@ -138,11 +141,11 @@
 double admittedDemand(const PrepaidShare &share, const CustomerId &customer, TimePoint now)
 {
     const std::map<SizeClass, double> all = fleetDemandBySize(share, customer, now);
-    const auto remains = static_cast<double>(mayRemain(share, customer));
+    const auto remains = static_cast<double>(maxRemaining(share, customer));
     double sum = 0;
     for (const auto &[sizeClass, rate] : demandBySize(share, customer, now)) {
         const double size = sizeOf(sizeClass);
-        if (size + keptFrom(share, customer, size, all) <= remains) {
+        if (size + smallRequestReserveFor(share, customer, size, all) <= remains) {
             sum += rate;
         }
     }
@@ -155,7 +158,7 @@
 {
     if (ShareAccount *account = boundedAccount(share, customer)) {
         noteDemand(share, *account, tokens, now);
-        share.askedFor.insert(customer);
+        share.activeCustomers.insert(customer);
     }
 }
 
@@ -181,26 +184,26 @@
     return rates;
 }
 
-void forgetSizes(PrepaidShare &share, const CustomerId &customer)
+void clearDemandBySize(PrepaidShare &share, const CustomerId &customer)
 {
     if (ShareAccount *account = boundedAccount(share, customer)) {
         account->demandBySize.clear();
     }
 }
 
-Tokens keptForSmaller(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now)
+Tokens smallRequestReserve(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now)
 {
     return static_cast<Tokens>(
-        keptFrom(share, customer, static_cast<double>(tokens), fleetDemandBySize(share, customer, now)));
+        smallRequestReserveFor(share, customer, static_cast<double>(tokens), fleetDemandBySize(share, customer, now)));
 }
 
-bool mustLeaveToSmaller(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now)
+bool wouldUseSmallRequestReserve(const PrepaidShare &share, const CustomerId &customer, Tokens tokens, TimePoint now)
 {
-    const Tokens remains = mayRemain(share, customer);
-    if (remains >= tokens + mostKept(share, customer)) {
+    const Tokens remains = maxRemaining(share, customer);
+    if (remains >= tokens + maxSmallRequestReserve(share, customer)) {
         return false;
     }
-    const Tokens kept = keptForSmaller(share, customer, tokens, now);
+    const Tokens kept = smallRequestReserve(share, customer, tokens, now);
     return kept > 0 && remains < tokens + kept;
 }
 
--- a/godwit/prepaid/share_records.cpp
+++ b/godwit/prepaid/share_records.cpp
@@ -1,4 +1,4 @@
-// Records read from the platform: taking over from an earlier process on this host, and what an unanswered write did.
+// Records read from the store: takeover from an earlier process on this host, and the outcome of unanswered writes.
 
 #include "godwit/prepaid/prepaid_share.h"
 #include "godwit/prepaid/share_internal.h"
@@ -13,22 +13,23 @@
 using internal::clearPending;
 using internal::grantedTo;
 using internal::grantWithin;
-using internal::shortestBinds;
+using internal::shortestFixedPeriod;
 
 namespace
 {
 
-std::chrono::milliseconds apart(std::chrono::milliseconds a, std::chrono::milliseconds b)
+std::chrono::milliseconds absoluteDifference(std::chrono::milliseconds a, std::chrono::milliseconds b)
 {
     return a > b ? a - b : b - a;
 }
 
-// How old an earlier process's mark may have been when this process started; unset when the clocks can't tell.
+// Upper bound on the age of an earlier process's mark when this process started; unset if the clocks cannot tell.
 //
-// The time of day may have been stepped, and the step taken back since. So the mark has its time in two ways: by the
-// time of day when it was written, and by the one that its writer started with. A step before the mark is in only one
-// of them, so that the greater age is not too small; after a step back the writer itself went by the time of day.
-std::optional<std::chrono::milliseconds> ageAtStart(const PrepaidOptions &options, const MarkRecord &mark)
+// The time of day may have been stepped, and the step may have been reverted since. The record therefore has two times:
+// the time of day when it was written, and the time of day when the writer started plus the uptime since. A step before
+// the write affects just one of them, so that the larger age is not too small; after a step back the writer itself went
+// by the time of day.
+std::optional<std::chrono::milliseconds> markAgeAtStart(const PrepaidOptions &options, const MarkRecord &mark)
 {
     using std::chrono::milliseconds;
     const HostTime &started = options.startedAt;
@@ -36,12 +37,13 @@
     const milliseconds uptime = started.uptime - written.uptime;
     const milliseconds byDay = started.wall - written.wall;
     const milliseconds bySteadyDay = started.wall - mark.steadyWall;
-    const milliseconds difference = std::min(apart(uptime, byDay), apart(uptime, bySteadyDay));
+    const milliseconds difference =
+        std::min(absoluteDifference(uptime, byDay), absoluteDifference(uptime, bySteadyDay));
     const bool sameBoot = started.boot == written.boot && uptime >= milliseconds(0);
     if (sameBoot && difference <= options.clockAgreement) {
-        return uptime + options.markCaution;
+        return uptime + options.markAgeMargin;
     }
-    // Where each process has an uptime of its own, or after a restart of the host, the time of day has to do.
+    // If each process has its own uptime, or after a reboot of the host, only the time of day is available.
     milliseconds age = std::max(byDay, bySteadyDay);
     if (age < milliseconds(0)) {
         return std::nullopt;
@@ -49,20 +51,20 @@
     if (sameBoot && difference <= options.clockTolerance) {
         age = std::max(age, uptime);
     }
-    return age + options.markCaution;
+    return age + options.markAgeMargin;
 }
 
-bool holdsAnyOf(const PrepaidLedger &ledger, const HolderId &holder)
+bool hasAnyGrant(const PrepaidLedger &ledger, const HolderId &holder)
 {
     return std::any_of(ledger.accounts.begin(), ledger.accounts.end(), [&holder](const auto &entry) {
         return entry.second.granted.count(holder) != 0;
     });
 }
 
-// Charges what an earlier process on this host may have used and gives the rest of its grant back.
-void takeOver(PrepaidShare &share, PrepaidLedger &ledger, const std::optional<MarkRecord> &mark)
+// Charges what an earlier process on this host may have used, and returns the rest of its grant.
+void settlePredecessor(PrepaidShare &share, PrepaidLedger &ledger, const std::optional<MarkRecord> &mark)
 {
-    share.foundMarkAge = mark ? ageAtStart(share.options, *mark) : std::nullopt;
+    share.predecessorMarkAge = mark ? markAgeAtStart(share.options, *mark) : std::nullopt;
     for (auto &[customer, account] : ledger.accounts) {
         const auto held = account.granted.find(share.options.self);
         if (held == account.granted.end()) {
@@ -73,9 +75,10 @@
         if (mark) {
             const auto entry = mark->marks.find(customer);
             const Mark found = entry == mark->marks.end() ? Mark{} : entry->second;
-            const Tokens reach = share.foundMarkAge ? reachOf(found, *share.foundMarkAge) : furthestReachOf(found);
-            charge = std::min(charge, reach);
-            // It had used this much when it wrote the mark, and may have received tokens since.
+            const Tokens limit =
+                share.predecessorMarkAge ? limitAtAge(found, *share.predecessorMarkAge) : maxLimitOf(found);
+            charge = std::min(charge, limit);
+            // This much was used when the mark was written; the process may have received tokens since.
             unsure = charge - std::min(charge, found.used);
         }
         account.spent += charge;
@@ -84,8 +87,8 @@
     }
 }
 
-// The room as the newer of document and ledger gives the total.
-Tokens roomUnder(const PrepaidShare &share, const PrepaidLedger &ledger, const CustomerId &customer)
+// The unallocated tokens under the total of the document or of the ledger, whichever is newer.
+Tokens unallocatedUnderNewestTotal(const PrepaidShare &share, const PrepaidLedger &ledger, const CustomerId &customer)
 {
     const auto entry = ledger.accounts.find(customer);
     const ShareAccount *own = accountOf(share, customer);
@@ -94,7 +97,7 @@
     }
     const bool ledgerNewer = ledger.documentVersion > share.documentVersion;
     const Tokens total = ledgerNewer ? entry->second.total : own->total;
-    return roomOf(entry->second) - entry->second.total + total;
+    return unallocatedTokens(entry->second) - entry->second.total + total;
 }
 
 } // namespace
@@ -106,28 +109,30 @@
                    std::uint64_t markRevision)
 {
     const bool ownMark = mark && mark->writer == share.options.incarnation;
-    // Giving back once more would return tokens that others sent a second time, to be spent twice.
+    // A second return would also return the tokens that other routers sent a second time, and so allow them to be spent
+    // twice.
     share.returned = share.returned || (ownMark && mark->returned);
-    share.takenOver = share.takenOver || ownMark;
+    share.predecessorSettled = share.predecessorSettled || ownMark;
     const bool nothingLeft = !mark || mark->returned;
-    if (!share.takenOver && nothingLeft && !holdsAnyOf(ledger, share.options.self)) {
-        // Nothing to take over, so that nothing has to be written before this process counts as ready.
-        share.takenOver = true;
+    if (!share.predecessorSettled && nothingLeft && !hasAnyGrant(ledger, share.options.self)) {
+        // With nothing to take over, this process is ready without a write.
+        share.predecessorSettled = true;
     }
-    if (!share.takenOver) {
-        takeOver(share, ledger, mark);
+    if (!share.predecessorSettled) {
+        settlePredecessor(share, ledger, mark);
     } else {
         if (mark && share.markWrittenAt.wall.count() == 0) {
-            // An earlier process's write has landed after this one's first reading. A successor will go by its mark.
+            // A write of an earlier process took effect after this process had first read the records. A successor will
+            // use its mark.
             share.markWrittenAt = mark->writtenAt;
-            share.shortestBinds = shortestBinds(*mark);
+            share.shortestFixedPeriod = shortestFixedPeriod(*mark);
             share.markAge = std::chrono::milliseconds(0);
         }
-        // What an unanswered write did shows here.
+        // The records show whether an unanswered write took effect.
         for (auto &[customer, account] : share.accounts) {
             account.granted = grantedTo(ledger, customer, share.options.self);
             account.mark = mark && mark->marks.count(customer) != 0 ? mark->marks.at(customer) : Mark{};
-            account.granted = grantWithin(account, roomUnder(share, ledger, customer));
+            account.granted = grantWithin(account, unallocatedUnderNewestTotal(share, ledger, customer));
         }
     }
     share.ledger = std::move(ledger);
@@ -137,11 +142,11 @@
     clearPending(share);
 }
 
-void onLedgerHeard(PrepaidShare &share, PrepaidLedger ledger, std::uint64_t ledgerRevision)
+void onLedgerUpdate(PrepaidShare &share, PrepaidLedger ledger, std::uint64_t ledgerRevision)
 {
-    // While a write is open its condition decides; while the records are in doubt they have to be read. Before the
-    // first write of this process its own copy has what its predecessor is charged, which would be lost.
-    if (!share.takenOver || share.writing || !share.ledgerKnown || ledgerRevision <= share.ledgerRevision) {
+    // The condition of an open write detects a newer ledger, and records in doubt must be read anyway. Before this
+    // process's first write, its copy of the ledger holds the charge for its predecessor, which would be lost.
+    if (!share.predecessorSettled || share.writing || !share.ledgerKnown || ledgerRevision <= share.ledgerRevision) {
         return;
     }
     share.ledger = std::move(ledger);
