--- a/godwit/daemon/budget_keeper.cpp
+++ b/godwit/daemon/budget_keeper.cpp
@@ -53,7 +53,7 @@
             m_relay.log().write("marks_bind_no_more", {});
         }
         // Their limits grow with the time.
-        m_relay.tokensCame();
+        m_relay.retryReservations();
     }
     keepLease(now);
     probe(now);
@@ -310,7 +310,7 @@
         logLedger();
     }
     writeIfDue();
-    m_relay.tokensCame();
+    m_relay.retryReservations();
 }
 
 // What a process found when it came: the first question after a death is what it has cost.
@@ -345,7 +345,7 @@
     if (!m_relay.state().platformInReach || m_relay.state().stage == RelayStage::Starting || m_returned) {
         return;
     }
-    m_relay.noteWanted();
+    m_relay.updateTokenDemand();
     if (const auto due = planWrite(share, Relay::now(), m_hostTime())) {
         write(*due);
     }
@@ -395,7 +395,7 @@
         finishReturn();
         return;
     }
-    m_relay.tokensCame();
+    m_relay.retryReservations();
 }
 
 // The answer says what stands, which saves two reads in the frequent case that another router was faster.
--- a/godwit/daemon/endpoint_list.cpp
+++ b/godwit/daemon/endpoint_list.cpp
@@ -153,7 +153,7 @@
         list.push_back(placed(endpoint));
     }
     for (const EndpointId &id : replaceEndpoints(m_relay.state().endpoints, list)) {
-        m_relay.pool().forget(id);
+        m_relay.pool().closeIdle(id);
         m_relay.log().write("endpoint_started_anew",
                             {{"endpoint", std::string_view(id.value)}, {"started_at", m_used.at(id).startedAt}});
     }
--- a/godwit/daemon/fleet_homes.cpp
+++ b/godwit/daemon/fleet_homes.cpp
@@ -173,7 +173,7 @@
     if (anySilent) {
         m_onItsWay.clear();
         chooseHomes();
-        m_relay.askAgain();
+        m_relay.requestNeededTokens();
     }
     if (anyWaits) {
         watchAnswers();
@@ -364,8 +364,8 @@
     const auto gift = askTokens(share, ask);
     // Without tokens it says that the wish has arrived and has to wait.
     send(gift.value_or(TokenGift{ask.from, ask.customer, 0}), wish->tokens[1]);
-    if (!gift && m_relay.onTokensWanted) {
-        m_relay.onTokensWanted(ask.customer, ask.needed);
+    if (!gift && m_relay.onTokensNeeded) {
+        m_relay.onTokensNeeded(ask.customer, ask.needed);
     }
 }
 
@@ -383,10 +383,10 @@
         onLag(lag);
     }
     if (lag >= m_options.behindFrom) {
-        if (!m_relay.isBehind(now)) {
+        if (!m_relay.mayBeStale(now)) {
             m_relay.log().write("behind", {{"lag_ms", toSeconds(lag) * 1000}});
         }
-        m_relay.state().behindAt = now;
+        m_relay.state().congestedAt = now;
     }
 }
 
@@ -449,7 +449,7 @@
                         {{"customer", std::string_view(given->customer.value)},
                          {"amount", given->tokens[0]},
                          {"from", std::string_view(peer.member.incarnation.value)}});
-    m_relay.tokensCame();
+    m_relay.retryReservations();
 }
 
 } // namespace Godwit
--- a/godwit/daemon/fleet_links.cpp
+++ b/godwit/daemon/fleet_links.cpp
@@ -382,7 +382,7 @@
     }
     if (peer.ready != wasReady) {
         chooseHomes();
-        m_relay.askAgain();
+        m_relay.requestNeededTokens();
     }
     readHeld(beat, HolderId{peer.member.callerAddress});
     readCopyStates(peer.member.incarnation, beat);
--- a/godwit/daemon/fleet_links_test.cpp
+++ b/godwit/daemon/fleet_links_test.cpp
@@ -146,13 +146,13 @@
     routers.run(std::chrono::milliseconds(100));
     REQUIRE(routers[0].snapshots == 1);
     CHECK(routers[1].entriesAsked == 0);
-    CHECK_FALSE(routers[0].relay.isBehind(Relay::now()));
+    CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
     routers[0].links.compareCopies({{"servers/", 0, 9}});
     routers.run(std::chrono::milliseconds(600), {&routers[1]});
-    CHECK_FALSE(routers[0].relay.isBehind(Relay::now()));
+    CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
     routers.run(std::chrono::milliseconds(100));
     CHECK(routers[0].snapshots == 2);
-    CHECK(routers[0].relay.isBehind(Relay::now()));
+    CHECK(routers[0].relay.mayBeStale(Relay::now()));
 }
 
 TEST_CASE("answers that come after the next question still tell a router that it is behind")
@@ -164,10 +164,10 @@
         routers[0].links.compareCopies({{"servers/", 0, 9}});
         routers.run(std::chrono::milliseconds(400), {&routers[1]});
     }
-    CHECK_FALSE(routers[0].relay.isBehind(Relay::now()));
+    CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
     routers.run(std::chrono::milliseconds(60));
     CHECK(routers[0].snapshots == 3);
-    CHECK(routers[0].relay.isBehind(Relay::now()));
+    CHECK(routers[0].relay.mayBeStale(Relay::now()));
 }
 
 TEST_CASE("a peer that is slow to answer makes nobody else behind")
@@ -178,7 +178,7 @@
     routers.run(std::chrono::milliseconds(600), {&routers[1]});
     routers.run(std::chrono::milliseconds(100));
     CHECK(routers[0].snapshots == 2);
-    CHECK_FALSE(routers[0].relay.isBehind(Relay::now()));
+    CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
 }
 
 TEST_CASE("an answer that comes after one to a later question makes nobody behind")
@@ -198,7 +198,7 @@
     while (!ask()) { }
     routers.run(std::chrono::milliseconds(600), frozen);
     routers.run(std::chrono::milliseconds(100));
-    CHECK_FALSE(routers[0].relay.isBehind(Relay::now()));
+    CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
 }
 
 TEST_CASE("a frozen router keeps no update from the others")
--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -9,8 +9,8 @@
 #include "godwit/daemon/suspect_keeper.h"
 #include "godwit/gateway/connection_pause.h"
 #include "godwit/relay/caller_connection.h"
-#include "godwit/relay/entry_server.h"
 #include "godwit/relay/listener.h"
+#include "godwit/relay/simple_http_server.h"
 #include "platform/http_codec.h"
 #include "platform/site_codec.h"
 
@@ -108,9 +108,9 @@
     options.prepaid.self = HolderId{settings.callerListen};
     options.prepaid.incarnation = incarnation;
     options.prepaid.startedAt = hostTimeNow(bootName());
-    options.repeats.ratio = settings.repeatRatio;
-    options.repeats.slack = settings.repeatSlack;
-    options.repeats.window = settings.repeatWindow;
+    options.retryRules.ratio = settings.repeatRatio;
+    options.retryRules.slack = settings.repeatSlack;
+    options.retryRules.window = settings.repeatWindow;
     return options;
 }
 
@@ -189,11 +189,11 @@
         , m_sweep(m_io)
         , m_stop(m_io)
     {
-        m_relay.onTokensWanted = [this](const CustomerId &customer, Tokens needed) {
+        m_relay.onTokensNeeded = [this](const CustomerId &customer, Tokens needed) {
             m_keeper.hurry();
             m_links.askForTokens(customer, needed);
         };
-        m_relay.onTokensCame = [this] {
+        m_relay.onTokensAdded = [this] {
             m_links.serveAsks();
         };
         m_relay.onPromptSent = [this](const PromptSent &prompt, Duration reading) {
@@ -508,11 +508,11 @@
         m_log.write("stage", {{"stage", name}});
     }
 
-    EntryServer::Answer answerEntry()
+    SimpleHttpServer::Handler answerEntry()
     {
         return [this](const std::string &method, const std::string &target) {
             const EntryQuestion question = readEntryQuestion(method, target);
-            EntryAnswer answer;
+            SimpleHttpResponse answer;
             if (question.call == EntryCall::Ready) {
                 answer.status = m_relay.isReady() ? 200 : 503;
                 answer.body = "{}";
@@ -549,10 +549,10 @@
         return allowed;
     }
 
-    EntryServer::Answer answerMetrics()
+    SimpleHttpServer::Handler answerMetrics()
     {
         return [this](const std::string &, const std::string &) {
-            EntryAnswer answer;
+            SimpleHttpResponse answer;
             answer.status = 200;
             answer.contentType = "text/plain; version=0.0.4";
             answer.body = renderGatewayMetrics(m_relay, m_store.counters());
@@ -596,7 +596,7 @@
         }
         m_settings.stopWithin = settings->stopWithin;
         m_settings.addressesFor = settings->addressesFor;
-        m_relay.setRepeatRules(settings->repeatRatio, settings->repeatSlack, settings->repeatWindow);
+        m_relay.setRetryRules(settings->repeatRatio, settings->repeatSlack, settings->repeatWindow);
         m_relay.setColdStartBounds({settings->coldOverrun, settings->coldSlack});
         if (m_relay.state().routes) {
             planColdStarts();
@@ -611,7 +611,7 @@
             if (error) {
                 return;
             }
-            m_relay.pool().sweep(Relay::now());
+            m_relay.pool().closeExpired(Relay::now());
             for (SharedPrefix *prefix : prefixes()) {
                 prefix->checkRole();
             }
@@ -710,8 +710,8 @@
         const TimePoint now = Relay::now();
         noteRequests(m_pauses, m_relay.counters().requests, now);
         const Duration lag = m_pauses.lag;
-        const auto pause = pauseFor(m_pauses, m_relay.isBehind(now), m_pauseOptions, now);
-        m_relay.state().endsConnections = endsConnections(m_pauses, m_pauseOptions, now);
+        const auto pause = pauseFor(m_pauses, m_relay.mayBeStale(now), m_pauseOptions, now);
+        m_relay.state().closeAfterAnswer = endsConnections(m_pauses, m_pauseOptions, now);
         if (!pause) {
             return;
         }
@@ -731,14 +731,14 @@
         RelayState &state = m_relay.state();
         state.endpointsAsOf = m_endpointEntries.asOf();
         state.documentAsOf = m_documents.asOf();
-        const bool queueEmpty = Relay::now() >= state.behindAt + m_relay.options().behindFor;
-        if (state.behindAt == TimePoint{} || !queueEmpty || !m_relay.isBehind(Relay::now())) {
+        const bool queueEmpty = Relay::now() >= state.congestedAt + m_relay.options().congestionHoldOff;
+        if (state.congestedAt == TimePoint{} || !queueEmpty || !m_relay.mayBeStale(Relay::now())) {
             return;
         }
-        if (state.endpointsAsOf < state.behindAt) {
+        if (state.endpointsAsOf < state.congestedAt) {
             m_endpointEntries.confirm();
         }
-        if (state.documentAsOf < state.behindAt) {
+        if (state.documentAsOf < state.congestedAt) {
             m_documents.confirm();
         }
     }
@@ -830,8 +830,8 @@
     Listener m_callers;
     ConnectionPauseOptions m_pauseOptions;
     ConnectionPauses m_pauses;
-    EntryServer m_entry;
-    EntryServer m_metrics;
+    SimpleHttpServer m_entry;
+    SimpleHttpServer m_metrics;
     boost::asio::signal_set m_signals;
     boost::asio::signal_set m_reloads;
     boost::asio::steady_timer m_sweep;
--- a/godwit/daemon/gateway_metrics.cpp
+++ b/godwit/daemon/gateway_metrics.cpp
@@ -20,15 +20,15 @@
     const RelayCounters &counters = relay.counters();
     line(out, "godwit_requests_total", static_cast<double>(counters.requests));
     line(out, "godwit_answered_total", static_cast<double>(counters.answered));
-    line(out, "godwit_callers_left_total", static_cast<double>(counters.callersLeft));
+    line(out, "godwit_callers_left_total", static_cast<double>(counters.callerDisconnects));
     line(out, "godwit_connection_pauses_total", static_cast<double>(counters.connectionPauses));
     line(out, "godwit_attempts_total", static_cast<double>(counters.attempts));
-    line(out, "godwit_repeats_total", static_cast<double>(counters.repeats));
+    line(out, "godwit_repeats_total", static_cast<double>(counters.retries));
     const RelayState &state = relay.state();
     line(out, "godwit_limit_shares_held", static_cast<double>(state.limitShares.held.size()));
     line(out, "godwit_limit_part_usable", partOf(usableShares(state.limitShares, Relay::now(), Relay::uptime())));
     line(out, "godwit_resumed_streams_total", static_cast<double>(counters.resumedStreams));
-    line(out, "godwit_broken_off_total", static_cast<double>(counters.brokenOff));
+    line(out, "godwit_broken_off_total", static_cast<double>(counters.truncatedAnswers));
     line(out, "godwit_connections_opened_total", static_cast<double>(counters.connectionsOpened));
     for (const auto &[kind, count] : counters.refusals) {
         out << "godwit_refusals_total{cause=\"" << errorName(kind) << "\"} " << count << '\n';
@@ -51,14 +51,14 @@
     line(out, "godwit_suspect_trials_denied_total", static_cast<double>(counters.trialsDenied));
     line(out, "godwit_suspect_requests", static_cast<double>(state.suspects.deathCount.size()));
     line(out, "godwit_answers_without_declared_end_total", static_cast<double>(counters.answersWithoutDeclaredEnd));
-    for (const auto &[kind, count] : counters.repeatDraws) {
+    for (const auto &[kind, count] : counters.retryDecisions) {
         out << "godwit_repeat_draws_total{service=\"" << escapeLabel(kind.service) << "\",cause=\"" << kind.cause
-            << "\",outcome=\"" << repeatOutcomeName(kind.outcome) << "\"} " << count << '\n';
+            << "\",outcome=\"" << retryOutcomeName(kind.outcome) << "\"} " << count << '\n';
     }
-    line(out, "godwit_repeats_sent_late_total", static_cast<double>(counters.sends.late));
-    line(out, "godwit_sends_with_stale_time_left_total", static_cast<double>(counters.sends.stale));
-    line(out, "godwit_sends_beyond_attempts_total", static_cast<double>(counters.sends.beyondAttempts));
-    line(out, "godwit_sends_under_suspicion_total", static_cast<double>(counters.sends.underSuspicion));
+    line(out, "godwit_repeats_sent_late_total", static_cast<double>(counters.sends.lateRetries));
+    line(out, "godwit_sends_with_stale_time_left_total", static_cast<double>(counters.sends.staleTimeLeft));
+    line(out, "godwit_sends_beyond_attempts_total", static_cast<double>(counters.sends.beyondMaxEndpoints));
+    line(out, "godwit_sends_under_suspicion_total", static_cast<double>(counters.sends.ofSuspects));
     line(out, "godwit_calls_open", relay.callsOpen);
     line(out, "godwit_platform_calls_total", static_cast<double>(store.calls));
     for (std::size_t kind = 0; kind < StoreCallKinds; ++kind) {
--- a/godwit/daemon/limit_share_keeper.cpp
+++ b/godwit/daemon/limit_share_keeper.cpp
@@ -47,7 +47,7 @@
     if (now < m_nextCall || !sends) {
         return;
     }
-    const int fair = fairShares(group.routers.size(), leastShares(m_relay.options().repeats));
+    const int fair = fairShares(group.routers.size(), leastShares(m_relay.options().retryRules));
     const auto surplus = releaseSurplus(shares, m_relay.options().limitShares, fair);
     if (!surplus.empty()) {
         giveBack(surplus, fair);
@@ -93,7 +93,7 @@
         LimitShares &shares = m_relay.state().limitShares;
         if (reply.status == StoreStatus::Ok && shares.lease == lease) {
             const RelayOptions &options = m_relay.options();
-            const TimePoint usable = Relay::now() + options.repeats.window + options.limitShares.lateness;
+            const TimePoint usable = Relay::now() + options.retryRules.window + options.limitShares.lateness;
             holdShares(shares, claims, reply.revision, usable);
             m_hadConflict = false;
             logChange("claimed", claims.size(), fair);
--- a/godwit/daemon/suspect_deaths.cpp
+++ b/godwit/daemon/suspect_deaths.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void SuspectKeeper::onCut(const RequestCut &cut, std::function<void()> known)
+void SuspectKeeper::onCut(const InterruptedRequest &cut, std::function<void()> known)
 {
     const EndpointState *endpoint = findStart(m_relay.state().endpoints, cut.endpoint, cut.start);
     if (endpoint == nullptr || !takesNewWork(*endpoint)) {
--- a/godwit/daemon/suspect_keeper.cpp
+++ b/godwit/daemon/suspect_keeper.cpp
@@ -24,19 +24,19 @@
     , m_firstDeaths(relay, store, m_options.prefix + FirstDeathsName)
 {
     m_relay.state().suspects.options = m_options.suspects;
-    m_relay.onCut = [this](const RequestCut &cut, std::function<void()> known) {
+    m_relay.onInterrupted = [this](const InterruptedRequest &cut, std::function<void()> known) {
         onCut(cut, std::move(known));
     };
-    m_relay.onTrialWanted = [this](const TrialWish &wish, std::function<void(bool)> done) {
+    m_relay.onTrialRequested = [this](const TrialRequest &wish, std::function<void(bool)> done) {
         onTrialWanted(wish, std::move(done));
     };
     m_relay.onTrialEnded = [this](std::uint64_t fingerprint) {
         onTrialEnded(fingerprint);
     };
-    m_relay.onDoubtfulAnswer = [this](std::uint64_t fingerprint, const EndpointId &endpoint) {
+    m_relay.onAnswerWithoutDeclaredEnd = [this](std::uint64_t fingerprint, const EndpointId &endpoint) {
         onDoubtfulAnswer(fingerprint, endpoint);
     };
-    m_relay.onWholeAnswer = [this](std::uint64_t fingerprint) {
+    m_relay.onCompleteAnswer = [this](std::uint64_t fingerprint) {
         onWholeAnswer(fingerprint);
     };
 }
--- a/godwit/daemon/suspect_keeper.h
+++ b/godwit/daemon/suspect_keeper.h
@@ -97,7 +97,7 @@
         bool ownWrite = false; // This router wrote this revision.
     };
 
-    void onCut(const RequestCut &cut, std::function<void()> known);
+    void onCut(const InterruptedRequest &cut, std::function<void()> known);
     void askPort(const EndpointCuts &cuts);
     void releaseWaiting(const EndpointId &endpoint);
     void onDeath(const EndpointCuts &death, std::string_view sign);
@@ -110,8 +110,8 @@
     void speakLater(std::set<std::uint64_t> fingerprints);
     void judgeNow(std::uint64_t fingerprint);
     void noteJudged(std::uint64_t fingerprint);
-    void onTrialWanted(const TrialWish &wish, std::function<void(bool)> done);
-    void claimTrial(const TrialWish &wish, std::function<void(bool)> done);
+    void onTrialWanted(const TrialRequest &wish, std::function<void(bool)> done);
+    void claimTrial(const TrialRequest &wish, std::function<void(bool)> done);
     bool mayClaim(std::uint64_t fingerprint, const KnownRecord &known);
     void onTrialEnded(std::uint64_t fingerprint);
     void onWholeAnswer(std::uint64_t fingerprint);
--- a/godwit/daemon/suspect_trials.cpp
+++ b/godwit/daemon/suspect_trials.cpp
@@ -7,7 +7,7 @@
 namespace Godwit
 {
 
-void SuspectKeeper::onTrialWanted(const TrialWish &wish, std::function<void(bool)> done)
+void SuspectKeeper::onTrialWanted(const TrialRequest &wish, std::function<void(bool)> done)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(m_io, m_options.grantWithin);
     const auto answer = std::make_shared<std::function<void(bool)>>(std::move(done));
@@ -28,7 +28,7 @@
     claimTrial(wish, answerOnce);
 }
 
-void SuspectKeeper::claimTrial(const TrialWish &wish, std::function<void(bool)> done)
+void SuspectKeeper::claimTrial(const TrialRequest &wish, std::function<void(bool)> done)
 {
     const std::uint64_t fingerprint = wish.fingerprint;
     m_labels.emplace(fingerprint, wish.label);
--- a/godwit/relay/call_metrics.cpp
+++ b/godwit/relay/call_metrics.cpp
@@ -15,8 +15,8 @@
 constexpr EnumName<CallEnd> CallEndNames[] = {
     {CallEnd::Answered, "answered"},
     {CallEnd::Refused, "refused"},
-    {CallEnd::BrokenOff, "broken_off"},
-    {CallEnd::CallerLeft, "caller_left"},
+    {CallEnd::Truncated, "broken_off"},
+    {CallEnd::CallerDisconnected, "caller_left"},
 };
 
 constexpr EnumName<GatewayRouteKind> RouteKindNames[] = {
--- a/godwit/relay/call_metrics.h
+++ b/godwit/relay/call_metrics.h
@@ -31,11 +31,11 @@
 enum class CallEnd {
     Answered, // An endpoint's whole answer was passed on.
     Refused, // This router's own final answer.
-    BrokenOff, // A part of an answer was passed on and no more could be.
-    CallerLeft,
+    Truncated, // A part of an answer was passed on and no more could be.
+    CallerDisconnected,
 };
 
-constexpr std::size_t CallEnds = 4;
+constexpr std::size_t CallEndCount = 4;
 
 struct CallRecord
 {
@@ -58,9 +58,9 @@
 
 struct RelayCallSeries
 {
-    std::array<std::uint64_t, CallEnds> ended{};
-    std::array<Tokens, CallEnds> charged{}; // Of calls of which at least one event was passed on.
-    std::array<Tokens, CallEnds> chargedWithoutEvent{};
+    std::array<std::uint64_t, CallEndCount> ended{};
+    std::array<Tokens, CallEndCount> charged{}; // Of calls of which at least one event was passed on.
+    std::array<Tokens, CallEndCount> chargedWithoutEvent{};
     LatencySeries total;
     LatencySeries firstAnswer;
 };
--- a/godwit/relay/call_metrics_test.cpp
+++ b/godwit/relay/call_metrics_test.cpp
@@ -34,8 +34,8 @@
 {
     // Budgets that are used up by calls nobody was served with look like busy customers without this.
     CallMetrics metrics;
-    recordCharge(metrics, {CustomerId{"desk"}, GatewayRouteKind::Streaming, CallEnd::CallerLeft, false, 700});
-    recordCharge(metrics, {CustomerId{"desk"}, GatewayRouteKind::Streaming, CallEnd::CallerLeft, true, 40});
+    recordCharge(metrics, {CustomerId{"desk"}, GatewayRouteKind::Streaming, CallEnd::CallerDisconnected, false, 700});
+    recordCharge(metrics, {CustomerId{"desk"}, GatewayRouteKind::Streaming, CallEnd::CallerDisconnected, true, 40});
     const std::string text = renderCalls(metrics);
     const std::string series =
         "godwit_tokens_charged_total{customer=\"desk\",kind=\"streaming\",end=\"caller_left\",events=";
--- a/godwit/relay/caller_connection.cpp
+++ b/godwit/relay/caller_connection.cpp
@@ -21,11 +21,11 @@
 using boost::system::error_code;
 
 // How long an orderly close waits for the caller to have read its answer.
-constexpr auto CloseLimit = std::chrono::seconds(1);
+constexpr auto CloseTimeout = std::chrono::seconds(1);
 // A caller's host that vanished is noticed after this long at the latest.
-constexpr Duration AcknowledgementLimit = std::chrono::seconds(5);
+constexpr Duration TcpUserTimeout = std::chrono::seconds(5);
 // How often a connection with bytes that wait behind an open request is looked at again.
-constexpr auto WatchAgain = std::chrono::milliseconds(250);
+constexpr auto WatchInterval = std::chrono::milliseconds(250);
 
 ErrorKind kindOf(const error_code &error)
 {
@@ -38,7 +38,7 @@
     return ErrorKind::MalformedRequest;
 }
 
-CallerLimits limitsInForce(Relay &relay)
+CallerLimits currentLimits(Relay &relay)
 {
     const auto &routes = relay.state().routes;
     return routes ? routes->document.limits : CallerLimits{};
@@ -46,25 +46,25 @@
 
 } // namespace
 
-CallerConnection::CallerConnection(Relay &relay, CallerConnections &all, asio::ip::tcp::socket socket)
+CallerConnection::CallerConnection(Relay &relay, CallerConnections &connections, asio::ip::tcp::socket socket)
     : m_relay(relay)
-    , m_all(all)
+    , m_connections(connections)
     , m_socket(std::move(socket))
     , m_timer(relay.io())
 {
-    m_all.open.insert(this);
+    m_connections.open.insert(this);
 }
 
 CallerConnection::~CallerConnection()
 {
-    m_all.open.erase(this);
+    m_connections.open.erase(this);
 }
 
 void CallerConnection::start()
 {
     error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    setAcknowledgementLimit(m_socket, AcknowledgementLimit);
+    setTcpUserTimeout(m_socket, TcpUserTimeout);
     readRequest();
 }
 
@@ -72,27 +72,27 @@
 {
     // A request may have arrived that the loop has not come to. And a second close would cancel the read that waits for
     // the caller's end, which then looks as if the caller had left.
-    const bool idle = !m_call && !m_beganReading && m_buffer.size() == 0 && !m_writeOpen;
+    const bool idle = !m_call && !m_receivingRequest && m_buffer.size() == 0 && !m_writePending;
     if (idle && !m_closing && !m_closed && isQuiet(m_socket)) {
-        closeInOrder();
+        closeGracefully();
     }
 }
 
 void CallerConnection::readRequest()
 {
-    const CallerLimits limits = limitsInForce(m_relay);
+    const CallerLimits limits = currentLimits(m_relay);
     m_parser.emplace();
     m_parser->header_limit(static_cast<std::uint32_t>(limits.maxHeaderBytes));
     m_parser->body_limit(limits.maxBodyBytes);
-    m_readOpen = true;
-    m_beganReading = false;
+    m_awaitingRequest = true;
+    m_receivingRequest = false;
     m_answerDone = false;
     if (m_buffer.size() > 0) {
         readHead();
         return;
     }
     m_timer.expires_after(limits.idleTimeout);
-    armReadLimit();
+    armReadTimeout();
     m_socket.async_wait(asio::ip::tcp::socket::wait_read, [self = shared_from_this()](const error_code &error) {
         if (!error && !self->m_closed) {
             self->readHead();
@@ -101,10 +101,10 @@
 }
 
 // Whatever runs out here is a caller that sends nothing or too slowly.
-void CallerConnection::armReadLimit()
+void CallerConnection::armReadTimeout()
 {
     m_timer.async_wait([self = shared_from_this()](const error_code &error) {
-        if (!error && self->m_readOpen && self->limitHasPassed()) {
+        if (!error && self->m_awaitingRequest && self->timerHasExpired()) {
             self->close();
         }
     });
@@ -112,23 +112,23 @@
 
 // A wait that ended just before the timer was set anew still calls its handler, without an error. Taken for the new
 // limit it would close a connection on which a request has begun to arrive.
-bool CallerConnection::limitHasPassed() const
+bool CallerConnection::timerHasExpired() const
 {
     return m_timer.expiry() <= std::chrono::steady_clock::now();
 }
 
 void CallerConnection::readHead()
 {
-    m_beganReading = true;
-    m_timer.expires_after(limitsInForce(m_relay).headerTimeout);
-    armReadLimit();
+    m_receivingRequest = true;
+    m_timer.expires_after(currentLimits(m_relay).headerTimeout);
+    armReadTimeout();
     http::async_read_header(
         m_socket, m_buffer, *m_parser, [self = shared_from_this()](const error_code &error, std::size_t) {
             if (self->m_closed) {
                 return;
             }
             if (error) {
-                self->onUnreadable(error);
+                self->onMalformedRequest(error);
                 return;
             }
             if (self->m_parser->is_done()) {
@@ -142,8 +142,8 @@
 void CallerConnection::readBody()
 {
     // A body may take as long as the caller has patience; an idle connection is bounded like any other.
-    m_timer.expires_after(limitsInForce(m_relay).idleTimeout);
-    armReadLimit();
+    m_timer.expires_after(currentLimits(m_relay).idleTimeout);
+    armReadTimeout();
     if (beast::iequals(m_parser->get()[http::field::expect], "100-continue")) {
         m_queued += "HTTP/1.1 100 Continue\r\n\r\n";
         write();
@@ -153,16 +153,16 @@
             return;
         }
         if (error) {
-            self->onUnreadable(error);
+            self->onMalformedRequest(error);
             return;
         }
         self->startCall();
     });
 }
 
-void CallerConnection::onUnreadable(const error_code &error)
+void CallerConnection::onMalformedRequest(const error_code &error)
 {
-    m_readOpen = false;
+    m_awaitingRequest = false;
     m_timer.cancel();
     // Only what the parser refuses is answered; a connection that ends or breaks has nobody to answer.
     if (error.category() != beast::error_code(http::error::bad_method).category() || error == http::error::end_of_stream
@@ -173,7 +173,7 @@
     Error refusal;
     refusal.kind = kindOf(error);
     refusal.message = "the request can't be read: " + error.message();
-    m_saidClose = true; // What follows on this connection can't be read either.
+    m_closeAfterAnswer = true; // What follows on this connection can't be read either.
     m_relay.log().write("unreadable_request", {{"cause", std::string_view(refusal.message)}});
     ++m_relay.counters().refusals[refusal.kind];
     send(writeRefusal(refusal, "", true));
@@ -182,8 +182,8 @@
 
 void CallerConnection::startCall()
 {
-    m_readOpen = false;
-    m_beganReading = false;
+    m_awaitingRequest = false;
+    m_receivingRequest = false;
     m_timer.cancel();
     auto request = m_parser->release();
     m_keepAlive = request.keep_alive();
@@ -192,12 +192,12 @@
     const auto call = m_call;
     call->start();
     if (m_call == call) {
-        watchCaller();
+        watchForDisconnect();
     }
 }
 
 // A caller that has left shows as the end of the stream, or as an error.
-void CallerConnection::watchCaller()
+void CallerConnection::watchForDisconnect()
 {
     m_socket.async_wait(asio::ip::tcp::socket::wait_read, [self = shared_from_this()](const error_code &error) {
         if (self->m_closed || !self->m_call || error == asio::error::operation_aborted) {
@@ -210,10 +210,10 @@
             return;
         }
         // The next request is there already; the socket stays readable, so look again later.
-        self->m_timer.expires_after(WatchAgain);
+        self->m_timer.expires_after(WatchInterval);
         self->m_timer.async_wait([self](const error_code &cancelled) {
-            if (!cancelled && self->m_call && !self->m_closed && self->limitHasPassed()) {
-                self->watchCaller();
+            if (!cancelled && self->m_call && !self->m_closed && self->timerHasExpired()) {
+                self->watchForDisconnect();
             }
         });
     });
@@ -237,12 +237,12 @@
 {
     m_call.reset();
     m_answerDone = true;
-    if (!m_writeOpen && !m_closed) {
+    if (!m_writePending && !m_closed) {
         onWritten({});
     }
 }
 
-void CallerConnection::breakOff()
+void CallerConnection::abort()
 {
     m_call.reset();
     close();
@@ -253,16 +253,16 @@
     const RelayState &state = m_relay.state();
     const bool stops = state.stage == RelayStage::Leaving || state.stage == RelayStage::Stopping;
     const bool endsWithConnection = framing == AnswerFraming::Connection;
-    m_saidClose = !m_keepAlive || stops || state.endsConnections || endsWithConnection;
+    m_closeAfterAnswer = !m_keepAlive || stops || state.closeAfterAnswer || endsWithConnection;
     if (endsWithConnection) {
-        resetOnClose(true);
+        setResetOnClose(true);
     }
-    return m_saidClose;
+    return m_closeAfterAnswer;
 }
 
 // Where an end in order says that the answer is whole, any other close has to be a reset, also that of a process that
 // is killed.
-void CallerConnection::resetOnClose(bool wanted)
+void CallerConnection::setResetOnClose(bool wanted)
 {
     error_code ignored;
     m_socket.set_option(asio::socket_base::linger(wanted, 0), ignored);
@@ -270,14 +270,14 @@
 
 void CallerConnection::write()
 {
-    if (m_writeOpen || m_queued.empty()) {
+    if (m_writePending || m_queued.empty()) {
         return;
     }
-    m_writeOpen = true;
+    m_writePending = true;
     m_writing = std::exchange(m_queued, {});
     asio::async_write(
         m_socket, asio::buffer(m_writing), [self = shared_from_this()](const error_code &error, std::size_t) {
-            self->m_writeOpen = false;
+            self->m_writePending = false;
             self->m_writing.clear();
             if (!self->m_closed) {
                 self->onWritten(error);
@@ -306,8 +306,8 @@
     error_code ignored;
     m_socket.cancel(ignored);
     m_timer.cancel();
-    if (m_saidClose) {
-        closeInOrder();
+    if (m_closeAfterAnswer) {
+        closeGracefully();
         return;
     }
     readRequest();
@@ -315,15 +315,15 @@
 
 // Closing a socket with unread bytes resets it, and a reset can destroy the answer on its way: say that no more
 // comes, and wait for the caller to close.
-void CallerConnection::closeInOrder()
+void CallerConnection::closeGracefully()
 {
     m_closing = true;
     error_code ignored;
     m_socket.cancel(ignored);
-    m_readOpen = false;
-    resetOnClose(false);
+    m_awaitingRequest = false;
+    setResetOnClose(false);
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    m_timer.expires_after(CloseLimit);
+    m_timer.expires_after(CloseTimeout);
     m_timer.async_wait([self = shared_from_this()](const error_code &error) {
         if (!error) {
             self->close();
@@ -353,12 +353,12 @@
         return;
     }
     m_closed = true;
-    m_readOpen = false;
+    m_awaitingRequest = false;
     m_timer.cancel();
     error_code ignored;
     m_socket.close(ignored);
     if (const auto call = std::exchange(m_call, nullptr)) {
-        call->callerLeft();
+        call->onCallerDisconnected();
     }
 }
 
--- a/godwit/relay/caller_connection.h
+++ b/godwit/relay/caller_connection.h
@@ -33,7 +33,7 @@
 class CallerConnection : public AnswerSink, public std::enable_shared_from_this<CallerConnection>
 {
 public:
-    CallerConnection(Relay &relay, CallerConnections &all, boost::asio::ip::tcp::socket socket);
+    CallerConnection(Relay &relay, CallerConnections &connections, boost::asio::ip::tcp::socket socket);
     ~CallerConnection() override;
 
     void start();
@@ -44,29 +44,29 @@
     void send(std::string bytes) override;
     std::size_t queuedBytes() const override;
     void finish() override;
-    void breakOff() override;
+    void abort() override;
     bool beginAnswer(AnswerFraming framing) override;
 
 private:
     using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
     void readRequest();
-    void armReadLimit();
-    bool limitHasPassed() const;
+    void armReadTimeout();
+    bool timerHasExpired() const;
     void readHead();
     void readBody();
-    void onUnreadable(const boost::system::error_code &error);
+    void onMalformedRequest(const boost::system::error_code &error);
     void startCall();
-    void watchCaller();
+    void watchForDisconnect();
     void write();
     void onWritten(const boost::system::error_code &error);
-    void resetOnClose(bool wanted);
-    void closeInOrder();
+    void setResetOnClose(bool wanted);
+    void closeGracefully();
     void drainUntilClosed();
     void close();
 
     Relay &m_relay;
-    CallerConnections &m_all;
+    CallerConnections &m_connections;
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
     boost::beast::flat_buffer m_buffer;
@@ -74,12 +74,12 @@
     std::shared_ptr<RelayCall> m_call;
     std::string m_writing;
     std::string m_queued;
-    bool m_writeOpen = false;
+    bool m_writePending = false;
     bool m_answerDone = false;
     bool m_keepAlive = true;
-    bool m_saidClose = false; // An answer's head has said that the connection closes after it.
-    bool m_readOpen = false; // A request is being read, or waited for.
-    bool m_beganReading = false;
+    bool m_closeAfterAnswer = false; // An answer's head has said that the connection closes after it.
+    bool m_awaitingRequest = false; // A request is being read, or waited for.
+    bool m_receivingRequest = false;
     bool m_closing = false; // Nothing more is sent; the caller's end is waited for.
     bool m_closed = false;
 };
--- a/godwit/relay/caller_connection_test.cpp
+++ b/godwit/relay/caller_connection_test.cpp
@@ -17,9 +17,9 @@
 {
 
 // A router without a document, and a caller that is connected to it.
-struct Connected
+struct RouterWithCaller
 {
-    Connected()
+    RouterWithCaller()
         : log(io, {})
         , relay(io, {}, log)
         , caller(io)
@@ -38,7 +38,7 @@
         io.run_for(time);
     }
 
-    void ask(const std::string &connectionHeader)
+    void sendGet(const std::string &connectionHeader)
     {
         boost::asio::write(caller,
                            boost::asio::buffer("GET / HTTP/1.1\r\nHost: a\r\n" + std::string(AttemptIdField)
@@ -90,10 +90,10 @@
 {
     // A router that stops looks for idle connections each 100 ms. The second look cancelled the read that waits for the
     // caller's end, and its end by that was taken for the caller's: the socket was closed under an answer on its way.
-    Connected router;
+    RouterWithCaller router;
     SECTION("closed after an answer")
     {
-        router.ask("close");
+        router.sendGet("close");
         router.run(std::chrono::milliseconds(20));
         REQUIRE(router.received().find("HTTP/1.1 503") == 0);
     }
@@ -112,20 +112,20 @@
     // The caller hears that its route does not exist, on one host of many. That host's link is choked: it refuses all
     // that it is asked, and the document that has the route waits behind these requests for seconds. The line was
     // "event":"refused","cause":"unknown_route" with a document 14 s old.
-    Connected router;
+    RouterWithCaller router;
     RelayState &state = router.relay.state();
     state.routes = makeRouteTable({});
     state.stage = RelayStage::Serving;
     SECTION("while its link is choked")
     {
-        state.behindAt = Relay::now();
+        state.congestedAt = Relay::now();
     }
     SECTION("until its copy of the document is new, though its list of endpoints is")
     {
-        state.behindAt = Relay::now() - std::chrono::seconds(3);
+        state.congestedAt = Relay::now() - std::chrono::seconds(3);
         state.endpointsAsOf = Relay::now();
     }
-    router.ask("keep-alive");
+    router.sendGet("keep-alive");
     router.run(std::chrono::milliseconds(20));
     CHECK(router.received().find("HTTP/1.1 429") == 0);
 }
@@ -134,7 +134,7 @@
 {
     // A large document took seconds over a busy link on which small messages came at once, so that the host did not
     // count as behind. It answered 404 for a route that had been added seconds ago.
-    Connected router;
+    RouterWithCaller router;
     RelayState &state = router.relay.state();
     state.routes = makeRouteTable({});
     state.stage = RelayStage::Serving;
@@ -144,14 +144,14 @@
     SECTION("a peer has held a newer one for two seconds")
     {
         noteAnswer(state.documentAgreement, now, std::chrono::seconds(2), now);
-        router.ask("keep-alive");
+        router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(refused) == 0);
     }
     SECTION("a peer has held a newer list of endpoints")
     {
         noteAnswer(state.endpointsAgreement, now, std::chrono::seconds(2), now);
-        router.ask("keep-alive");
+        router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(refused) == 0);
     }
@@ -159,14 +159,14 @@
     {
         noteAnswer(state.documentAgreement, now, std::chrono::seconds(2), now - std::chrono::seconds(3));
         state.routes = makeRouteTable(documentWithRoute());
-        router.ask("keep-alive");
+        router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find("no endpoint of the service") != std::string::npos);
     }
     SECTION("the peers hold nothing newer")
     {
         noteAnswer(state.documentAgreement, now, Duration::zero(), now);
-        router.ask("keep-alive");
+        router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(unknownRoute) == 0);
     }
@@ -175,7 +175,7 @@
 TEST_CASE("a host that can't tell whether its document is current denies nothing for good")
 {
     // Guards against 404 or 401 from a host that has heard nothing for seconds, for what was added meanwhile.
-    Connected router;
+    RouterWithCaller router;
     RelayState &state = router.relay.state();
     state.stage = RelayStage::Serving;
     const TimePoint now = Relay::now();
@@ -215,7 +215,7 @@
         noteEqualReading(agreement, now);
         expected = denied;
     }
-    router.ask("keep-alive");
+    router.sendGet("keep-alive");
     router.run(std::chrono::milliseconds(20));
     CHECK(router.received().find(expected) == 0);
 }
@@ -224,8 +224,8 @@
 {
     // The loop was busy while the request came, so that nobody had begun to read it. The connection was closed as idle
     // and the request read and dropped: its caller heard nothing and may not repeat it.
-    Connected router;
-    router.ask("keep-alive");
+    RouterWithCaller router;
+    router.sendGet("keep-alive");
     router.connection->closeIfIdle();
     router.run(std::chrono::milliseconds(20));
     CHECK(router.received().find("HTTP/1.1 503") == 0);
@@ -235,7 +235,7 @@
 {
     // A busy router took up the new connection after it had read that the endpoint leaves, and sent the request all the
     // same.
-    Connected router;
+    RouterWithCaller router;
     tcp::acceptor endpoint(router.io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
     endpoint.non_blocking(true);
     ListedEndpoint listed{EndpointId{"e"}, "s", formatAddress(endpoint.local_endpoint())};
@@ -248,7 +248,7 @@
     state.routes = makeRouteTable(document);
     state.stage = RelayStage::Serving;
     replaceEndpoints(state.endpoints, {listed});
-    router.ask("keep-alive");
+    router.sendGet("keep-alive");
     router.io.restart();
     while (router.relay.counters().attempts == 0) {
         REQUIRE(router.io.run_one_for(std::chrono::seconds(1)) == 1);
@@ -277,9 +277,9 @@
 {
 
 // A router whose one customer has asked its one engine for a stream, and the engine's side of that request.
-struct StreamAsked : Connected
+struct RouterWithStream : RouterWithCaller
 {
-    explicit StreamAsked(const std::string &millisecondsLeft = "9000", bool resumable = false)
+    explicit RouterWithStream(const std::string &millisecondsLeft = "9000", bool resumable = false)
         : acceptor(io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0))
         , engine(io)
     {
@@ -327,11 +327,11 @@
         }
     }
 
-    void leave()
+    void disconnectCaller()
     {
         caller.close();
         runUntil([this] {
-            return relay.counters().callersLeft > 0;
+            return relay.counters().callerDisconnects > 0;
         });
     }
 
@@ -368,12 +368,12 @@
 TEST_CASE("each wish to repeat is counted with its outcome, and a stream that can't go on draws no repeat")
 {
     // Guards against an allowance that is used up by repeats that are never sent.
-    StreamAsked router("9000", true);
-    router.relay.setRepeatRules(0, 0, std::chrono::seconds(10));
-    const auto draws = [&router](RepeatOutcome outcome) {
-        return router.relay.counters().repeatDraws[{"s", "connection_broken", outcome}];
+    RouterWithStream router("9000", true);
+    router.relay.setRetryRules(0, 0, std::chrono::seconds(10));
+    const auto draws = [&router](RetryOutcome outcome) {
+        return router.relay.counters().retryDecisions[{"s", "connection_broken", outcome}];
     };
-    bool goesOn = true;
+    bool canResume = true;
     bool allowed = false;
     SECTION("the allowance is used up")
     {
@@ -384,32 +384,32 @@
     }
     SECTION("the last event has no number")
     {
-        goesOn = false;
+        canResume = false;
         allowed = true;
     }
     if (allowed) {
-        router.relay.setRepeatRules(10, 0, std::chrono::seconds(10));
+        router.relay.setRetryRules(10, 0, std::chrono::seconds(10));
     }
-    router.sendEvent(goesOn ? "id: 1\n\n" : "data:\n\n");
+    router.sendEvent(canResume ? "id: 1\n\n" : "data:\n\n");
     router.runUntil([&router] {
         return router.caller.available() > 0;
     });
     router.engine.set_option(boost::asio::socket_base::linger(true, 0));
     router.engine.close();
     router.runUntil([&router] {
-        return router.relay.counters().brokenOff > 0;
+        return router.relay.counters().truncatedAnswers > 0;
     });
-    CHECK(router.relay.counters().brokenOff == 1);
-    CHECK(draws(RepeatOutcome::Taken) == (goesOn && allowed ? 1 : 0));
-    CHECK(draws(RepeatOutcome::Denied) == (goesOn && !allowed ? 1 : 0));
+    CHECK(router.relay.counters().truncatedAnswers == 1);
+    CHECK(draws(RetryOutcome::Taken) == (canResume && allowed ? 1 : 0));
+    CHECK(draws(RetryOutcome::Denied) == (canResume && !allowed ? 1 : 0));
 }
 
 TEST_CASE("a call given up before its engine made an event costs its customer nothing")
 {
     // Guards against budgets used up by callers that left, or ran out of time, behind busy engines.
-    StreamAsked router;
+    RouterWithStream router;
     REQUIRE(router.account().reserved == 720);
-    router.leave();
+    router.disconnectCaller();
     router.engine.close();
     router.runUntilSettled();
     CHECK(router.account().net == 0);
@@ -418,7 +418,7 @@
 TEST_CASE("a call whose time is over before its engine made an event costs its customer nothing")
 {
     // Guards against budgets used up by calls that waited for nothing.
-    StreamAsked router("400");
+    RouterWithStream router("400");
     router.runUntil([&] {
         return router.relay.counters().refusals[ErrorKind::AnswerLate] > 0;
     });
@@ -430,7 +430,7 @@
 TEST_CASE("a call whose engine ends its connection without an event is charged its prompt")
 {
     // Guards against spending beyond a budget: an engine that has run a request may lose its answer.
-    StreamAsked router;
+    RouterWithStream router;
     SECTION("in order")
     {
     }
@@ -446,8 +446,8 @@
 TEST_CASE("a call whose engine may have made an event is charged its prompt though the caller left")
 {
     // Guards against spending beyond a budget: the event was on its way when the caller left.
-    StreamAsked router;
-    router.leave();
+    RouterWithStream router;
+    router.disconnectCaller();
     CHECK(router.account().reserved == 720);
     SECTION("an event comes after the caller has left")
     {
--- a/godwit/relay/connection_pool.cpp
+++ b/godwit/relay/connection_pool.cpp
@@ -10,7 +10,7 @@
 namespace Godwit
 {
 
-void setAcknowledgementLimit(ConnectionPool::Socket &socket, Duration limit)
+void setTcpUserTimeout(ConnectionPool::Socket &socket, Duration limit)
 {
     const auto milliseconds =
         static_cast<unsigned>(std::chrono::duration_cast<std::chrono::milliseconds>(limit).count());
@@ -18,7 +18,7 @@
     ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof(milliseconds));
 }
 
-std::optional<ConnectionPool::Socket> ConnectionPool::take(const EndpointId &endpoint, TimePoint now)
+std::optional<ConnectionPool::Socket> ConnectionPool::acquire(const EndpointId &endpoint, TimePoint now)
 {
     const auto found = m_idle.find(endpoint);
     if (found == m_idle.end()) {
@@ -28,31 +28,31 @@
         // The one used last is the least likely to be closed by the other side meanwhile.
         Idle idle = std::move(found->second.back());
         found->second.pop_back();
-        if (idle.keepUntil > now && isQuiet(idle.socket)) {
+        if (idle.expiresAt > now && isQuiet(idle.socket)) {
             return std::move(idle.socket);
         }
     }
     return std::nullopt;
 }
 
-void ConnectionPool::giveBack(const EndpointId &endpoint, Socket socket, TimePoint keepUntil)
+void ConnectionPool::release(const EndpointId &endpoint, Socket socket, TimePoint expiresAt)
 {
-    m_idle[endpoint].push_back(Idle{std::move(socket), keepUntil});
+    m_idle[endpoint].push_back(Idle{std::move(socket), expiresAt});
 }
 
-void ConnectionPool::forget(const EndpointId &endpoint)
+void ConnectionPool::closeIdle(const EndpointId &endpoint)
 {
     m_idle.erase(endpoint);
 }
 
-void ConnectionPool::sweep(TimePoint now)
+void ConnectionPool::closeExpired(TimePoint now)
 {
     for (auto it = m_idle.begin(); it != m_idle.end();) {
         auto &idle = it->second;
         idle.erase(std::remove_if(idle.begin(),
                                   idle.end(),
                                   [now](Idle &entry) {
-                                      return entry.keepUntil <= now || !isQuiet(entry.socket);
+                                      return entry.expiresAt <= now || !isQuiet(entry.socket);
                                   }),
                    idle.end());
         it = idle.empty() ? m_idle.erase(it) : std::next(it);
--- a/godwit/relay/connection_pool.h
+++ b/godwit/relay/connection_pool.h
@@ -25,26 +25,26 @@
 public:
     using Socket = boost::asio::ip::tcp::socket;
 
-    std::optional<Socket> take(const EndpointId &endpoint, TimePoint now);
-    void giveBack(const EndpointId &endpoint, Socket socket, TimePoint keepUntil);
+    std::optional<Socket> acquire(const EndpointId &endpoint, TimePoint now);
+    void release(const EndpointId &endpoint, Socket socket, TimePoint expiresAt);
 
     // Closes all idle connections to an endpoint that has started anew: behind a cut they look sound and lead nowhere.
-    void forget(const EndpointId &endpoint);
+    void closeIdle(const EndpointId &endpoint);
 
     // Closes idle connections whose time is up or that are no longer sound.
-    void sweep(TimePoint now);
+    void closeExpired(TimePoint now);
 
 private:
     struct Idle
     {
         Socket socket;
-        TimePoint keepUntil;
+        TimePoint expiresAt;
     };
     std::map<EndpointId, std::vector<Idle>> m_idle;
 };
 
 // Bounds how long the kernel waits for acknowledgements before it gives a connection up: across a network that
 // silently drops everything, writes would otherwise seem to succeed for minutes.
-void setAcknowledgementLimit(ConnectionPool::Socket &socket, Duration limit);
+void setTcpUserTimeout(ConnectionPool::Socket &socket, Duration limit);
 
 } // namespace Godwit
--- a/godwit/relay/decision_log.cpp
+++ b/godwit/relay/decision_log.cpp
@@ -80,7 +80,7 @@
 // is ready takes at least this much without blocking.
 constexpr std::size_t SafeWriteBytes = 4096;
 
-bool writable(int descriptor)
+bool isWritable(int descriptor)
 {
     pollfd entry{descriptor, POLLOUT, 0};
     return ::poll(&entry, 1, 0) == 1 && (entry.revents & POLLOUT) != 0;
@@ -97,7 +97,7 @@
 void DecisionLog::write(std::string_view event, std::initializer_list<DecisionField> fields)
 {
     if (m_pending.size() >= m_options.maxPendingBytes) {
-        ++m_dropped;
+        ++m_droppedUnreported;
         ++m_droppedTotal;
         return;
     }
@@ -108,18 +108,18 @@
     for (const DecisionField &field : fields) {
         appendField(m_pending, field);
     }
-    if (m_dropped > 0) {
-        appendField(m_pending, {"lines_dropped_before", static_cast<std::int64_t>(m_dropped)});
-        m_dropped = 0;
+    if (m_droppedUnreported > 0) {
+        appendField(m_pending, {"lines_dropped_before", static_cast<std::int64_t>(m_droppedUnreported)});
+        m_droppedUnreported = 0;
     }
     m_pending.append("}\n");
-    arm();
+    scheduleFlush();
 }
 
 void DecisionLog::flush()
 {
     std::size_t done = 0;
-    while (done < m_pending.size() && writable(m_options.descriptor)) {
+    while (done < m_pending.size() && isWritable(m_options.descriptor)) {
         const std::size_t length = std::min(SafeWriteBytes, m_pending.size() - done);
         const ssize_t written = ::write(m_options.descriptor, m_pending.data() + done, length);
         if (written <= 0) {
@@ -130,21 +130,21 @@
     m_pending.erase(0, done);
 }
 
-void DecisionLog::arm()
+void DecisionLog::scheduleFlush()
 {
-    if (m_armed) {
+    if (m_flushScheduled) {
         return;
     }
-    m_armed = true;
+    m_flushScheduled = true;
     m_timer.expires_after(m_options.flushInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (error) {
             return;
         }
-        m_armed = false;
+        m_flushScheduled = false;
         flush();
         if (!m_pending.empty()) {
-            arm();
+            scheduleFlush();
         }
     });
 }
--- a/godwit/relay/decision_log.h
+++ b/godwit/relay/decision_log.h
@@ -58,14 +58,14 @@
     }
 
 private:
-    void arm();
+    void scheduleFlush();
 
     DecisionLogOptions m_options;
     boost::asio::steady_timer m_timer;
     std::string m_pending;
-    std::uint64_t m_dropped = 0; // Since the last line that says so.
+    std::uint64_t m_droppedUnreported = 0; // Since the last line that says so.
     std::uint64_t m_droppedTotal = 0;
-    bool m_armed = false;
+    bool m_flushScheduled = false;
 };
 
 } // namespace Godwit
--- a/godwit/relay/endpoint_exchange.cpp
+++ b/godwit/relay/endpoint_exchange.cpp
@@ -17,7 +17,7 @@
 
 constexpr EnumName<ExchangeFailure> ExchangeFailureNames[] = {
     {ExchangeFailure::NotConnected, "not_connected"},
-    {ExchangeFailure::Withdrawn, "endpoint_left"},
+    {ExchangeFailure::EndpointLeft, "endpoint_left"},
     {ExchangeFailure::Unanswered, "unanswered"},
     {ExchangeFailure::Broken, "connection_broken"},
     {ExchangeFailure::Malformed, "malformed_answer"},
@@ -82,7 +82,7 @@
     m_bytes = std::move(bytes);
     m_attemptId = std::move(attemptId);
     startParser();
-    m_socket = m_pool.take(endpoint, steadyNow());
+    m_socket = m_pool.acquire(endpoint, steadyNow());
     if (m_socket) {
         send();
         return;
@@ -93,7 +93,7 @@
 
 void EndpointExchange::cancel()
 {
-    if (isOver()) {
+    if (isDone()) {
         return;
     }
     closeConnection();
@@ -102,20 +102,20 @@
 
 void EndpointExchange::withdraw(Duration limit, std::function<void(WithdrawalOutcome)> done)
 {
-    if (m_phase != Phase::Sent || answerHasBegun()) {
+    if (m_phase != Phase::Sent || answerHasStarted()) {
         const bool nothingSent = m_phase == Phase::Connecting;
         cancel();
         done(nothingSent ? WithdrawalOutcome::NotRun : WithdrawalOutcome::Answered);
         return;
     }
-    m_withdrawn = std::move(done);
+    m_onWithdrawn = std::move(done);
     clearHandlers();
     beast::error_code ignored;
     m_socket->shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     m_timer.expires_after(limit);
     m_timer.async_wait([self = shared_from_this()](const beast::error_code &error) {
         if (!error) {
-            self->endWithdrawal(WithdrawalOutcome::Unknown);
+            self->completeWithdrawal(WithdrawalOutcome::Unknown);
         }
     });
     resume();
@@ -129,18 +129,18 @@
     });
 }
 
-bool EndpointExchange::answerHasBegun() const
+bool EndpointExchange::answerHasStarted() const
 {
-    return m_headTaken && !m_skipping && m_parser->get().result_int() / 100 != 1;
+    return m_headProcessed && !m_skipping && m_parser->get().result_int() / 100 != 1;
 }
 
-void EndpointExchange::endWithdrawal(WithdrawalOutcome outcome)
+void EndpointExchange::completeWithdrawal(WithdrawalOutcome outcome)
 {
-    if (isOver()) {
+    if (isDone()) {
         return;
     }
     closeConnection();
-    const auto done = std::exchange(m_withdrawn, {});
+    const auto done = std::exchange(m_onWithdrawn, {});
     done(outcome);
 }
 
@@ -151,7 +151,7 @@
 
 void EndpointExchange::resume()
 {
-    if (std::exchange(m_paused, false) && !m_reading && !isOver()) {
+    if (std::exchange(m_paused, false) && !m_reading && !isDone()) {
         read();
     }
 }
@@ -162,7 +162,7 @@
     const auto target = parseAddress(address, reason);
     if (!target) {
         asio::post(m_io, [self = shared_from_this()] {
-            self->giveUpConnecting(ExchangeFailure::NotConnected);
+            self->failBeforeSend(ExchangeFailure::NotConnected);
         });
         return;
     }
@@ -170,7 +170,7 @@
     m_timer.expires_after(m_options.connectTimeout);
     m_timer.async_wait([self = shared_from_this()](const beast::error_code &error) {
         if (!error) {
-            self->giveUpConnecting(ExchangeFailure::NotConnected);
+            self->failBeforeSend(ExchangeFailure::NotConnected);
         }
     });
     m_socket->async_connect(*target, [self = shared_from_this()](const beast::error_code &error) {
@@ -185,16 +185,16 @@
     }
     m_timer.cancel();
     if (error) {
-        giveUpConnecting(ExchangeFailure::NotConnected);
+        failBeforeSend(ExchangeFailure::NotConnected);
         return;
     }
     if (m_handlers.maySend && !m_handlers.maySend()) {
-        giveUpConnecting(ExchangeFailure::Withdrawn);
+        failBeforeSend(ExchangeFailure::EndpointLeft);
         return;
     }
     beast::error_code ignored;
     m_socket->set_option(asio::ip::tcp::no_delay(true), ignored);
-    setAcknowledgementLimit(*m_socket, m_options.acknowledgementLimit);
+    setTcpUserTimeout(*m_socket, m_options.tcpUserTimeout);
     send();
 }
 
@@ -202,7 +202,7 @@
 // connection comes about, and cancelling the timer doesn't take it back: it would then report that no byte went out
 // while the endpoint runs the request, and a second endpoint would get it. Once the request is being sent this does
 // nothing.
-void EndpointExchange::giveUpConnecting(ExchangeFailure failure)
+void EndpointExchange::failBeforeSend(ExchangeFailure failure)
 {
     if (m_phase == Phase::Connecting) {
         fail(failure);
@@ -229,7 +229,7 @@
     m_socket->async_read_some(m_buffer.prepare(m_options.readBytes),
                               [self = shared_from_this()](const beast::error_code &error, std::size_t count) {
                                   self->m_reading = false;
-                                  if (!self->isOver()) {
+                                  if (!self->isDone()) {
                                       self->onRead(error, count);
                                   }
                               });
@@ -241,23 +241,23 @@
     if (error) {
         m_connectionEnd = error == asio::error::eof ? ConnectionEnd::InOrder : ConnectionEnd::Broken;
     }
-    const bool ownAnswerOpen = m_headTaken && !m_skipping && !m_parser->is_done();
+    const bool ownAnswerOpen = m_headProcessed && !m_skipping && !m_parser->is_done();
     if (error == asio::error::eof && ownAnswerOpen && m_parser->need_eof()) {
         // An answer without a length ends with its connection, if that ends in order.
         beast::error_code ignored;
         m_parser->put_eof(ignored);
-        answerEnds();
+        completeAnswer();
         return;
     }
-    if (error && m_withdrawn) {
-        endWithdrawal(endsUnanswered(error) ? WithdrawalOutcome::Unanswered : WithdrawalOutcome::Unknown);
+    if (error && m_onWithdrawn) {
+        completeWithdrawal(closedWithoutAnswer(error) ? WithdrawalOutcome::Unanswered : WithdrawalOutcome::Unknown);
         return;
     }
     if (error) {
-        fail(endsUnanswered(error) ? ExchangeFailure::Unanswered : ExchangeFailure::Broken);
+        fail(closedWithoutAnswer(error) ? ExchangeFailure::Unanswered : ExchangeFailure::Broken);
         return;
     }
-    if (!parse() || isOver()) {
+    if (!parse() || isDone()) {
         return;
     }
     if (!m_paused) {
@@ -267,7 +267,7 @@
 
 // Whether the endpoint has sent no byte of an answer: an end in order comes after all that it had sent, while a reset
 // may have overtaken it.
-bool EndpointExchange::endsUnanswered(const beast::error_code &error) const
+bool EndpointExchange::closedWithoutAnswer(const beast::error_code &error) const
 {
     return error == asio::error::eof && m_buffer.size() == 0 && !m_parser->got_some();
 }
@@ -283,11 +283,11 @@
             fail(ExchangeFailure::Malformed);
             return false;
         }
-        if (m_parser->is_header_done() && !m_headTaken && !takeHead()) {
+        if (m_parser->is_header_done() && !m_headProcessed && !processHead()) {
             return false;
         }
-        passBody();
-        if (isOver()) {
+        deliverBody();
+        if (isDone()) {
             return false;
         }
         if (m_parser->is_done()) {
@@ -295,7 +295,7 @@
                 startParser();
                 continue;
             }
-            answerEnds();
+            completeAnswer();
             return false;
         }
         if (error == http::error::need_more || used == 0) {
@@ -305,9 +305,9 @@
     return true;
 }
 
-bool EndpointExchange::takeHead()
+bool EndpointExchange::processHead()
 {
-    m_headTaken = true;
+    m_headProcessed = true;
     const auto &head = m_parser->get().base();
     if (head.result_int() / 100 == 1) {
         return true;
@@ -319,37 +319,37 @@
     if (m_skipping) {
         return true;
     }
-    if (m_withdrawn) {
-        endWithdrawal(m_facts.notRun ? WithdrawalOutcome::NotRun : WithdrawalOutcome::Answered);
+    if (m_onWithdrawn) {
+        completeWithdrawal(m_facts.notRun ? WithdrawalOutcome::NotRun : WithdrawalOutcome::Answered);
         return false;
     }
     m_handlers.onHead(head, m_facts);
-    return !isOver();
+    return !isDone();
 }
 
-void EndpointExchange::passBody()
+void EndpointExchange::deliverBody()
 {
     std::string &body = m_parser->get().body();
-    if (!body.empty() && !m_skipping && m_headTaken) {
+    if (!body.empty() && !m_skipping && m_headProcessed) {
         m_handlers.onBody(body);
     }
-    if (!isOver()) {
+    if (!isDone()) {
         m_parser->get().body().clear();
     }
 }
 
-void EndpointExchange::answerEnds()
+void EndpointExchange::completeAnswer()
 {
     const auto &facts = m_facts;
     // The rest of a request that is still being sent, or bytes after the answer, would spoil the next exchange.
     const bool reusable = m_written && m_buffer.size() == 0 && !facts.leaving && m_parser->keep_alive();
     if (reusable) {
-        Duration keep = m_options.keepIdle;
+        Duration keep = m_options.idleTimeout;
         if (facts.keepAlive) {
-            keep = std::min(keep, *facts.keepAlive - m_options.keepMargin);
+            keep = std::min(keep, *facts.keepAlive - m_options.idleTimeoutMargin);
         }
         if (keep > Duration::zero()) {
-            m_pool.giveBack(m_endpoint, std::move(*m_socket), steadyNow() + keep);
+            m_pool.release(m_endpoint, std::move(*m_socket), steadyNow() + keep);
         }
     }
     finish();
@@ -357,7 +357,7 @@
 
 void EndpointExchange::finish()
 {
-    m_phase = Phase::Over;
+    m_phase = Phase::Done;
     m_timer.cancel();
     m_socket.reset();
     const auto handlers = std::exchange(m_handlers, {});
@@ -366,11 +366,11 @@
 
 void EndpointExchange::fail(ExchangeFailure failure)
 {
-    if (isOver()) {
+    if (isDone()) {
         return;
     }
-    if (m_withdrawn) {
-        endWithdrawal(WithdrawalOutcome::Unknown);
+    if (m_onWithdrawn) {
+        completeWithdrawal(WithdrawalOutcome::Unknown);
         return;
     }
     closeConnection();
@@ -380,7 +380,7 @@
 
 void EndpointExchange::closeConnection()
 {
-    m_phase = Phase::Over;
+    m_phase = Phase::Done;
     m_timer.cancel();
     if (m_socket) {
         beast::error_code ignored;
@@ -394,7 +394,7 @@
     m_parser->eager(true);
     m_parser->header_limit(MaxAnswerHeadBytes);
     m_parser->body_limit(MaxAnswerBytes);
-    m_headTaken = false;
+    m_headProcessed = false;
     m_skipping = false;
 }
 
--- a/godwit/relay/endpoint_exchange.h
+++ b/godwit/relay/endpoint_exchange.h
@@ -32,7 +32,7 @@
 
 enum class ExchangeFailure {
     NotConnected, // No byte of the request was sent.
-    Withdrawn, // Nor here: the endpoint may not get it any more.
+    EndpointLeft, // Nor here: the endpoint may not get it any more.
     Unanswered, // The endpoint ended the connection in order without a byte of an answer: the request may have run.
     Broken, // The connection ended before the answer did: the request may have run.
     Malformed, // The endpoint sent bytes that are no answer: the request may have run.
@@ -67,10 +67,10 @@
     // Endpoints accept within a few milliseconds; a lost opening packet is repeated after a second at the earliest.
     Duration connectTimeout = std::chrono::milliseconds(400);
     // Idle connections are kept this long unless the endpoint names less.
-    Duration keepIdle = std::chrono::seconds(4);
+    Duration idleTimeout = std::chrono::seconds(4);
     // An endpoint's own limit is given in whole seconds; it may close this much earlier than that.
-    Duration keepMargin = std::chrono::milliseconds(600);
-    Duration acknowledgementLimit = std::chrono::seconds(3);
+    Duration idleTimeoutMargin = std::chrono::milliseconds(600);
+    Duration tcpUserTimeout = std::chrono::seconds(3);
     std::size_t readBytes = 16UL * 1024;
 };
 
@@ -114,37 +114,37 @@
     enum class Phase {
         Connecting, // No byte of the request has gone out.
         Sent, // Bytes may have reached the endpoint.
-        Over,
+        Done,
     };
 
     void connect(const std::string &address);
     void onConnected(const boost::system::error_code &error);
-    void giveUpConnecting(ExchangeFailure failure);
+    void failBeforeSend(ExchangeFailure failure);
     void send();
     void read();
     void onRead(const boost::system::error_code &error, std::size_t count);
     bool parse();
-    bool takeHead();
-    void passBody();
-    void answerEnds();
+    bool processHead();
+    void deliverBody();
+    void completeAnswer();
     void finish();
     void fail(ExchangeFailure failure);
     void closeConnection();
     void clearHandlers();
-    bool answerHasBegun() const;
-    bool endsUnanswered(const boost::system::error_code &error) const;
-    void endWithdrawal(WithdrawalOutcome outcome);
+    bool answerHasStarted() const;
+    bool closedWithoutAnswer(const boost::system::error_code &error) const;
+    void completeWithdrawal(WithdrawalOutcome outcome);
     void startParser();
-    bool isOver() const
+    bool isDone() const
     {
-        return m_phase == Phase::Over;
+        return m_phase == Phase::Done;
     }
 
     boost::asio::io_context &m_io;
     ConnectionPool &m_pool;
     ExchangeOptions m_options;
     ExchangeHandlers m_handlers;
-    std::function<void(WithdrawalOutcome)> m_withdrawn; // Set once the request has been withdrawn.
+    std::function<void(WithdrawalOutcome)> m_onWithdrawn; // Set once the request has been withdrawn.
     std::optional<ConnectionPool::Socket> m_socket;
     boost::asio::steady_timer m_timer;
     boost::beast::flat_buffer m_buffer;
@@ -155,7 +155,7 @@
     std::string m_attemptId;
     bool m_newConnection = false;
     bool m_written = false;
-    bool m_headTaken = false;
+    bool m_headProcessed = false;
     bool m_skipping = false; // The answer that is being read belongs to another attempt.
     bool m_paused = false;
     bool m_reading = false;
--- a/godwit/relay/endpoint_exchange_test.cpp
+++ b/godwit/relay/endpoint_exchange_test.cpp
@@ -17,9 +17,9 @@
 {
 
 // An exchange with an endpoint that accepts and answers nothing, and what it reported.
-struct Attempt
+struct ExchangeFixture
 {
-    explicit Attempt(Duration connectTimeout)
+    explicit ExchangeFixture(Duration connectTimeout)
         : acceptor(io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0))
     {
         ExchangeOptions options;
@@ -40,7 +40,7 @@
     }
 
     // Sends the request, and gives back the endpoint's side once it has it.
-    tcp::socket sent()
+    tcp::socket sendRequest()
     {
         start();
         tcp::socket endpoint = acceptor.accept();
@@ -53,9 +53,9 @@
         return endpoint;
     }
 
-    tcp::socket withdrawn(Duration limit)
+    tcp::socket sendAndWithdraw(Duration limit)
     {
-        tcp::socket endpoint = sent();
+        tcp::socket endpoint = sendRequest();
         exchange->withdraw(limit, [this](WithdrawalOutcome reported) {
             outcome = reported;
         });
@@ -102,42 +102,42 @@
     // The caller sees its booking made twice. The router is held up until both the connection and the end of its time
     // wait in its queue; it sends the request, then hears that the time is over and reports that no byte went out; a
     // second endpoint gets the request.
-    Attempt attempt(std::chrono::milliseconds(1));
-    attempt.start();
+    ExchangeFixture fixture(std::chrono::milliseconds(1));
+    fixture.start();
     std::this_thread::sleep_for(std::chrono::milliseconds(30));
     for (int turn = 0; turn < 20; ++turn) {
-        attempt.io.poll();
+        fixture.io.poll();
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
     // Else the connection was given up before it came about, and nothing was tried here.
-    REQUIRE(attempt.bytesAtEndpoint() > 0);
-    CHECK_FALSE(attempt.failure);
-    attempt.exchange->cancel();
-    attempt.io.poll();
+    REQUIRE(fixture.bytesAtEndpoint() > 0);
+    CHECK_FALSE(fixture.failure);
+    fixture.exchange->cancel();
+    fixture.io.poll();
 }
 
 TEST_CASE("an address that can't be read, or that nobody listens on, is not connected")
 {
-    Attempt attempt(std::chrono::milliseconds(200));
+    ExchangeFixture fixture(std::chrono::milliseconds(200));
     SECTION("unreadable")
     {
-        attempt.exchange->start(EndpointId{"e"}, "nowhere", "GET / HTTP/1.1\r\n\r\n", "a");
+        fixture.exchange->start(EndpointId{"e"}, "nowhere", "GET / HTTP/1.1\r\n\r\n", "a");
     }
     SECTION("refused")
     {
-        const auto address = formatAddress(attempt.acceptor.local_endpoint());
-        attempt.acceptor.close();
-        attempt.exchange->start(EndpointId{"e"}, address, "GET / HTTP/1.1\r\n\r\n", "a");
+        const auto address = formatAddress(fixture.acceptor.local_endpoint());
+        fixture.acceptor.close();
+        fixture.exchange->start(EndpointId{"e"}, address, "GET / HTTP/1.1\r\n\r\n", "a");
     }
-    attempt.io.run_for(std::chrono::seconds(1));
-    CHECK(attempt.failure == ExchangeFailure::NotConnected);
+    fixture.io.run_for(std::chrono::seconds(1));
+    CHECK(fixture.failure == ExchangeFailure::NotConnected);
 }
 
 TEST_CASE("a request counts as unanswered only if its endpoint ends in order without a byte")
 {
     // Guards against spending beyond a budget: a reset may have overtaken an event.
-    Attempt attempt(std::chrono::milliseconds(200));
-    tcp::socket endpoint = attempt.sent();
+    ExchangeFixture fixture(std::chrono::milliseconds(200));
+    tcp::socket endpoint = fixture.sendRequest();
     ExchangeFailure expected = ExchangeFailure::Broken;
     SECTION("it ends the connection")
     {
@@ -152,19 +152,19 @@
         endpoint.set_option(boost::asio::socket_base::linger(true, 0));
     }
     endpoint.close();
-    attempt.runUntil([&] {
-        return attempt.failure.has_value();
+    fixture.runUntil([&] {
+        return fixture.failure.has_value();
     });
-    REQUIRE(attempt.failure);
-    CHECK(exchangeFailureName(*attempt.failure) == exchangeFailureName(expected));
+    REQUIRE(fixture.failure);
+    CHECK(exchangeFailureName(*fixture.failure) == exchangeFailureName(expected));
 }
 
 TEST_CASE("a request that is withdrawn counts as unanswered only if its endpoint ends in order without a byte")
 {
     // Guards against spending beyond a budget: what an endpoint had sent when the caller left must still be seen.
-    Attempt attempt(std::chrono::milliseconds(200));
+    ExchangeFixture fixture(std::chrono::milliseconds(200));
     const std::string attemptOf = "\r\n" + std::string(AttemptIdField) + ": ";
-    tcp::socket endpoint = attempt.withdrawn(std::chrono::seconds(1));
+    tcp::socket endpoint = fixture.sendAndWithdraw(std::chrono::seconds(1));
     WithdrawalOutcome expected = WithdrawalOutcome::Unanswered;
     SECTION("it ends the connection")
     {
@@ -203,50 +203,50 @@
     {
         expected = WithdrawalOutcome::Unknown;
     }
-    attempt.runUntil([&] {
-        return attempt.outcome.has_value();
+    fixture.runUntil([&] {
+        return fixture.outcome.has_value();
     });
-    REQUIRE(attempt.outcome);
-    CHECK(withdrawalOutcomeName(*attempt.outcome) == withdrawalOutcomeName(expected));
-    CHECK_FALSE(attempt.failure);
+    REQUIRE(fixture.outcome);
+    CHECK(withdrawalOutcomeName(*fixture.outcome) == withdrawalOutcomeName(expected));
+    CHECK_FALSE(fixture.failure);
 }
 
 TEST_CASE("another request's answer that its connection ends is no answer to this one")
 {
     // Guards against a late answer without a length ending the request that waits on its connection.
-    Attempt attempt(std::chrono::milliseconds(200));
+    ExchangeFixture fixture(std::chrono::milliseconds(200));
     const std::string late = "HTTP/1.1 200 OK\r\n" + std::string(AttemptIdField) + ": earlier\r\n\r\nlate";
     SECTION("the request waits")
     {
-        tcp::socket endpoint = attempt.sent();
+        tcp::socket endpoint = fixture.sendRequest();
         boost::asio::write(endpoint, boost::asio::buffer(late));
         endpoint.close();
-        attempt.runUntil([&] {
-            return attempt.failure || attempt.ended;
+        fixture.runUntil([&] {
+            return fixture.failure || fixture.ended;
         });
-        CHECK(attempt.failure == ExchangeFailure::Broken);
+        CHECK(fixture.failure == ExchangeFailure::Broken);
     }
     SECTION("the request was withdrawn")
     {
-        tcp::socket endpoint = attempt.withdrawn(std::chrono::seconds(1));
+        tcp::socket endpoint = fixture.sendAndWithdraw(std::chrono::seconds(1));
         boost::asio::write(endpoint, boost::asio::buffer(late));
         endpoint.close();
-        attempt.runUntil([&] {
-            return attempt.outcome.has_value();
+        fixture.runUntil([&] {
+            return fixture.outcome.has_value();
         });
-        CHECK(attempt.outcome == WithdrawalOutcome::Unknown);
+        CHECK(fixture.outcome == WithdrawalOutcome::Unknown);
     }
-    CHECK_FALSE(attempt.ended);
+    CHECK_FALSE(fixture.ended);
 }
 
 TEST_CASE("a request that is withdrawn before its connection stands has not run")
 {
-    Attempt attempt(std::chrono::milliseconds(200));
-    attempt.start();
-    attempt.exchange->withdraw(std::chrono::milliseconds(100), [&attempt](WithdrawalOutcome reported) {
-        attempt.outcome = reported;
+    ExchangeFixture fixture(std::chrono::milliseconds(200));
+    fixture.start();
+    fixture.exchange->withdraw(std::chrono::milliseconds(100), [&fixture](WithdrawalOutcome reported) {
+        fixture.outcome = reported;
     });
-    CHECK(attempt.outcome == WithdrawalOutcome::NotRun);
-    attempt.io.run_for(std::chrono::milliseconds(20));
-    CHECK_FALSE(attempt.failure);
+    CHECK(fixture.outcome == WithdrawalOutcome::NotRun);
+    fixture.io.run_for(std::chrono::milliseconds(20));
+    CHECK_FALSE(fixture.failure);
 }
--- a/godwit/relay/endpoint_probe.cpp
+++ b/godwit/relay/endpoint_probe.cpp
@@ -24,7 +24,7 @@
     std::function<void(ProbeOutcome)> done;
 };
 
-void end(Probe &probe, ProbeOutcome outcome)
+void finishProbe(Probe &probe, ProbeOutcome outcome)
 {
     if (const auto done = std::exchange(probe.done, {})) {
         error_code ignored;
@@ -46,20 +46,20 @@
     const auto target = parseAddress(address, reason);
     if (!target) {
         asio::post(io, [probe] {
-            end(*probe, ProbeOutcome::Silent);
+            finishProbe(*probe, ProbeOutcome::Unreachable);
         });
         return;
     }
     probe->timer.expires_after(limit);
     probe->timer.async_wait([probe](const error_code &error) {
         if (!error) {
-            end(*probe, ProbeOutcome::Silent);
+            finishProbe(*probe, ProbeOutcome::Unreachable);
         }
     });
     probe->socket.async_connect(*target, [probe](const error_code &error) {
         const bool refused = error == asio::error::connection_refused || error == asio::error::connection_reset;
-        const ProbeOutcome failure = refused ? ProbeOutcome::Refuses : ProbeOutcome::Silent;
-        end(*probe, error ? failure : ProbeOutcome::Accepts);
+        const ProbeOutcome failure = refused ? ProbeOutcome::Refuses : ProbeOutcome::Unreachable;
+        finishProbe(*probe, error ? failure : ProbeOutcome::Accepts);
     });
 }
 
--- a/godwit/relay/endpoint_probe.h
+++ b/godwit/relay/endpoint_probe.h
@@ -18,7 +18,7 @@
 enum class ProbeOutcome {
     Accepts,
     Refuses, // Nothing listens there.
-    Silent, // No answer within the limit: the way there may be cut.
+    Unreachable, // No answer within the limit: the way there may be cut.
 };
 
 // Calls `done` once, after this returns.
--- a/godwit/relay/listener.cpp
+++ b/godwit/relay/listener.cpp
@@ -15,13 +15,13 @@
 // Bursts of new connections wait here instead of being dropped and sent again a second later.
 constexpr int Backlog = 1024;
 // After an error such as too few descriptors; at once would spin.
-constexpr auto AcceptPause = std::chrono::milliseconds(20);
+constexpr auto AcceptRetryDelay = std::chrono::milliseconds(20);
 
 } // namespace
 
 Listener::Listener(boost::asio::io_context &io)
     : m_acceptor(io)
-    , m_pause(io)
+    , m_pauseTimer(io)
 {
 }
 
@@ -68,7 +68,7 @@
     if (!m_acceptor.is_open()) {
         return;
     }
-    takeWaiting();
+    acceptPending();
     error_code ignored;
     m_acceptor.close(ignored);
     acceptAfter(time);
@@ -79,7 +79,7 @@
     m_closed = true;
     error_code ignored;
     m_acceptor.close(ignored);
-    m_pause.cancel();
+    m_pauseTimer.cancel();
 }
 
 LastReason Listener::takeFailure()
@@ -103,14 +103,14 @@
             return;
         }
         if (error) {
-            acceptAfter(AcceptPause);
+            acceptAfter(AcceptRetryDelay);
             return;
         }
         accept();
     });
 }
 
-void Listener::takeWaiting()
+void Listener::acceptPending()
 {
     error_code error;
     m_acceptor.non_blocking(true, error);
@@ -124,8 +124,8 @@
 
 void Listener::acceptAfter(Duration time)
 {
-    m_pause.expires_after(time);
-    m_pause.async_wait([this](const error_code &cancelled) {
+    m_pauseTimer.expires_after(time);
+    m_pauseTimer.async_wait([this](const error_code &cancelled) {
         if (!cancelled) {
             resume();
         }
@@ -137,7 +137,7 @@
     if (!m_acceptor.is_open() && !listen(m_failure)) {
         error_code ignored;
         m_acceptor.close(ignored);
-        acceptAfter(AcceptPause);
+        acceptAfter(AcceptRetryDelay);
         return;
     }
     accept();
--- a/godwit/relay/listener.h
+++ b/godwit/relay/listener.h
@@ -42,13 +42,13 @@
 private:
     bool listen(LastReason &reason);
     void accept();
-    void takeWaiting();
+    void acceptPending();
     void acceptAfter(Duration time);
     void resume();
 
     boost::asio::ip::tcp::acceptor m_acceptor;
     boost::asio::ip::tcp::endpoint m_endpoint;
-    boost::asio::steady_timer m_pause;
+    boost::asio::steady_timer m_pauseTimer;
     std::function<void(Socket)> m_onConnection;
     LastReason m_failure;
     bool m_closed = false; // For good.
--- a/godwit/relay/listener_test.cpp
+++ b/godwit/relay/listener_test.cpp
@@ -13,16 +13,16 @@
 namespace
 {
 
-struct Listening
+struct ListenerFixture
 {
-    Listening()
+    ListenerFixture()
         : listener(io)
     {
         LastReason reason;
         REQUIRE(listener.open(
             port.address(),
             [this](tcp::socket socket) {
-                taken.push_back(std::move(socket));
+                accepted.push_back(std::move(socket));
             },
             reason));
         address = *parseAddress(listener.address(), reason);
@@ -48,7 +48,7 @@
     Listener listener;
     tcp::endpoint address;
     std::vector<tcp::socket> callers;
-    std::vector<tcp::socket> taken;
+    std::vector<tcp::socket> accepted;
 };
 
 } // namespace
@@ -56,51 +56,51 @@
 TEST_CASE("a paused listener turns callers away at once and takes them again afterwards")
 {
     // Guards against a host that stays closed, or that lets callers wait for an answer that won't come.
-    Listening host;
+    ListenerFixture fixture;
     for (int pause = 0; pause < 3; ++pause) {
-        host.taken.clear();
-        CHECK(host.connect());
-        host.run(std::chrono::milliseconds(20));
-        CHECK(host.taken.size() == 1);
-        host.listener.pause(std::chrono::milliseconds(50));
-        CHECK_FALSE(host.connect());
-        host.run(std::chrono::milliseconds(200));
+        fixture.accepted.clear();
+        CHECK(fixture.connect());
+        fixture.run(std::chrono::milliseconds(20));
+        CHECK(fixture.accepted.size() == 1);
+        fixture.listener.pause(std::chrono::milliseconds(50));
+        CHECK_FALSE(fixture.connect());
+        fixture.run(std::chrono::milliseconds(200));
     }
-    CHECK_FALSE(host.listener.takeFailure());
+    CHECK_FALSE(fixture.listener.takeFailure());
 }
 
 TEST_CASE("callers that wait to be taken when a pause begins are taken")
 {
     // Guards against cutting callers that have sent their requests.
-    Listening host;
+    ListenerFixture fixture;
     for (int i = 0; i < 5; ++i) {
-        CHECK(host.connect());
+        CHECK(fixture.connect());
     }
-    host.listener.pause(std::chrono::seconds(5));
-    host.run(std::chrono::milliseconds(20));
-    CHECK(host.taken.size() == 5);
+    fixture.listener.pause(std::chrono::seconds(5));
+    fixture.run(std::chrono::milliseconds(20));
+    CHECK(fixture.accepted.size() == 5);
 }
 
 TEST_CASE("a listener that was closed while paused does not open again")
 {
-    Listening host;
-    host.listener.pause(std::chrono::milliseconds(20));
-    host.listener.close();
-    host.run(std::chrono::milliseconds(100));
-    CHECK_FALSE(host.connect());
+    ListenerFixture fixture;
+    fixture.listener.pause(std::chrono::milliseconds(20));
+    fixture.listener.close();
+    fixture.run(std::chrono::milliseconds(100));
+    CHECK_FALSE(fixture.connect());
 }
 
 TEST_CASE("a listener whose port was taken during a pause says so and tries until it is free")
 {
-    Listening host;
-    host.listener.pause(std::chrono::milliseconds(20));
+    ListenerFixture fixture;
+    fixture.listener.pause(std::chrono::milliseconds(20));
     {
-        tcp::acceptor other(host.io, host.address, true);
-        host.run(std::chrono::milliseconds(100));
-        const LastReason failure = host.listener.takeFailure();
+        tcp::acceptor other(fixture.io, fixture.address, true);
+        fixture.run(std::chrono::milliseconds(100));
+        const LastReason failure = fixture.listener.takeFailure();
         REQUIRE(failure);
-        CHECK(failure->message.find(host.listener.address()) != std::string::npos);
+        CHECK(failure->message.find(fixture.listener.address()) != std::string::npos);
     }
-    host.run(std::chrono::milliseconds(100));
-    CHECK(host.connect());
+    fixture.run(std::chrono::milliseconds(100));
+    CHECK(fixture.connect());
 }
--- a/godwit/relay/relay.cpp
+++ b/godwit/relay/relay.cpp
@@ -12,17 +12,17 @@
 namespace
 {
 
-constexpr EnumName<RepeatOutcome> RepeatOutcomeNames[] = {
-    {RepeatOutcome::Taken, "taken"},
-    {RepeatOutcome::Denied, "denied"},
-    {RepeatOutcome::Free, "free"},
+constexpr EnumName<RetryOutcome> RetryOutcomeNames[] = {
+    {RetryOutcome::Taken, "taken"},
+    {RetryOutcome::Denied, "denied"},
+    {RetryOutcome::Free, "free"},
 };
 
 } // namespace
 
-std::string_view repeatOutcomeName(RepeatOutcome outcome)
+std::string_view retryOutcomeName(RetryOutcome outcome)
 {
-    return enumName(RepeatOutcomeNames, outcome);
+    return enumName(RetryOutcomeNames, outcome);
 }
 
 Relay::Relay(boost::asio::io_context &io, RelayOptions options, DecisionLog &log)
@@ -54,10 +54,10 @@
     return !bounded || m_state.prepaid.takenOver;
 }
 
-bool Relay::isBehind(TimePoint now) const
+bool Relay::mayBeStale(TimePoint now) const
 {
-    const bool copiesAreOld = std::min(m_state.endpointsAsOf, m_state.documentAsOf) < m_state.behindAt;
-    return now < m_state.behindAt + (copiesAreOld ? m_options.copyPatience : m_options.behindFor)
+    const bool copiesAreOld = std::min(m_state.endpointsAsOf, m_state.documentAsOf) < m_state.congestedAt;
+    return now < m_state.congestedAt + (copiesAreOld ? m_options.copyRefreshTimeout : m_options.congestionHoldOff)
         || hasOutdatedCopy(now);
 }
 
@@ -75,8 +75,8 @@
 void Relay::waitForTokens(const std::shared_ptr<RelayCall> &call)
 {
     m_waiting.push_back(call);
-    if (onTokensWanted) {
-        onTokensWanted(call->customer(), neededHere()[call->customer()]);
+    if (onTokensNeeded) {
+        onTokensNeeded(call->customer(), localTokenDemand()[call->customer()]);
     }
 }
 
@@ -85,32 +85,32 @@
     m_waiting.erase(std::remove(m_waiting.begin(), m_waiting.end(), call), m_waiting.end());
 }
 
-void Relay::tokensCame()
+void Relay::retryReservations()
 {
     const auto waiting = std::exchange(m_waiting, {});
     for (const auto &call : waiting) {
-        if (!call->takeTokens()) {
+        if (!call->tryReserve()) {
             m_waiting.push_back(call);
         }
     }
-    askAgain();
-    if (onTokensCame) {
-        onTokensCame();
+    requestNeededTokens();
+    if (onTokensAdded) {
+        onTokensAdded();
     }
 }
 
-void Relay::askAgain()
+void Relay::requestNeededTokens()
 {
-    for (const auto &[customer, tokens] : neededHere()) {
-        if (onTokensWanted) {
-            onTokensWanted(customer, tokens);
+    for (const auto &[customer, tokens] : localTokenDemand()) {
+        if (onTokensNeeded) {
+            onTokensNeeded(customer, tokens);
         }
     }
 }
 
-void Relay::noteWanted()
+void Relay::updateTokenDemand()
 {
-    std::map<CustomerId, Tokens> needed = neededHere();
+    std::map<CustomerId, Tokens> needed = localTokenDemand();
     for (const TokenAsk &ask : m_state.prepaid.asks) {
         needed[ask.customer] += ask.needed;
     }
@@ -119,7 +119,7 @@
     }
 }
 
-std::map<CustomerId, Tokens> Relay::neededHere() const
+std::map<CustomerId, Tokens> Relay::localTokenDemand() const
 {
     std::map<CustomerId, Tokens> needed;
     for (const auto &call : m_waiting) {
--- a/godwit/relay/relay.h
+++ b/godwit/relay/relay.h
@@ -60,37 +60,37 @@
     ColdStartBounds coldStart;
     // A choice of a cold endpoint that has waited so long for its connection is made anew: those that waited would
     // reach it together.
-    Duration coldChoiceHolds = std::chrono::milliseconds(250);
+    Duration coldChoiceMaxAge = std::chrono::milliseconds(250);
     PrepaidOptions prepaid;
     ChoiceOptions choice;
     ExchangeOptions exchange;
-    RepeatRules repeats;
+    RepeatRules retryRules;
     LimitShareOptions limitShares;
     // How long a request waits for its budget at most, and no longer than an eighth of its latency target: a draw
     // takes some 15 ms, an answer from another router less.
-    Duration budgetPatience = std::chrono::milliseconds(120);
+    Duration budgetWaitLimit = std::chrono::milliseconds(120);
     // What a refused caller is told when nothing better is known.
-    Duration comeBack = std::chrono::milliseconds(700);
+    Duration defaultRetryAfter = std::chrono::milliseconds(700);
     // No request is taken for this long after the host was seen to be behind: by that time its queue has emptied. Then
     // it waits for a new list of endpoints and a new document, and no longer than `copyPatience`, since the store may
     // be away.
-    Duration behindFor = std::chrono::milliseconds(1200);
-    Duration copyPatience = std::chrono::seconds(10);
+    Duration congestionHoldOff = std::chrono::milliseconds(1200);
+    Duration copyRefreshTimeout = std::chrono::seconds(10);
     AgreementOptions agreement;
     // How long a suspect waits for its service to have endpoints to spare. Those that crash are back within seconds.
-    Duration trialPatience = std::chrono::seconds(10);
+    Duration trialWaitLimit = std::chrono::seconds(10);
     // Time kept at the end of a caller's patience, so that the final answer still arrives.
     Duration answerMargin = std::chrono::milliseconds(15);
     // How long an endpoint has to end the connection of a request that nobody waits for any more. Less than the time in
     // which work for callers that have left must stop.
-    Duration withdrawalLimit = std::chrono::milliseconds(200);
+    Duration withdrawalTimeout = std::chrono::milliseconds(200);
     // An endpoint that has said nothing for so long when its request is given up counts as slow. Work of plain
     // services takes up to some 0.5 s, and callers abandon a stream after a gap of 2 s.
-    Duration suspiciousSilence = std::chrono::seconds(1);
+    Duration slowEndpointThreshold = std::chrono::seconds(1);
     // An answer up to this size is read whole before any of it is passed on, so that a cut one can be replaced.
-    std::size_t wholeAnswerBytes = 256UL * 1024;
+    std::size_t maxBufferedAnswerBytes = 256UL * 1024;
     // More than this waiting for a slow caller stops the reading from its endpoint.
-    std::size_t callerQueueBytes = 256UL * 1024;
+    std::size_t maxCallerQueueBytes = 256UL * 1024;
 };
 
 struct RelayState
@@ -98,17 +98,17 @@
     std::shared_ptr<const RouteTable> routes; // Null until the first document.
     EndpointTable endpoints;
     PrepaidShare prepaid;
-    std::map<std::string, RepeatAllowance> repeats; // By service.
+    std::map<std::string, RepeatAllowance> retryAllowances; // By service.
     LimitShares limitShares;
     SenderGroup senders;
     RelayStage stage = RelayStage::Starting;
     int liveRouters = 1;
     bool platformInReach = false;
     // When this host's link was last seen to be choked: what it knew then was old, and what it sends comes late.
-    TimePoint behindAt;
+    TimePoint congestedAt;
     TimePoint endpointsAsOf; // The list of endpoints is at least as new as this.
     TimePoint documentAsOf; // So is the document.
-    bool endsConnections = false; // Connections end after their answers, so that their callers connect anew.
+    bool closeAfterAnswer = false; // Connections end after their answers, so that their callers connect anew.
     CopyAgreement endpointsAgreement; // Whether the list is as new as those of the other routers.
     CopyAgreement documentAgreement;
     CrashWatch crashWatch;
@@ -118,7 +118,7 @@
 };
 
 // A request that was under way at an endpoint when its connection ended.
-struct RequestCut
+struct InterruptedRequest
 {
     EndpointId endpoint;
     EndpointStart start = 0;
@@ -127,7 +127,7 @@
 };
 
 // A suspect that is to be sent, as the fleet's one run of it.
-struct TrialWish
+struct TrialRequest
 {
     std::uint64_t fingerprint = 0;
     EndpointId endpoint;
@@ -135,21 +135,21 @@
 };
 
 // What became of a wish to send a request once more.
-enum class RepeatOutcome {
+enum class RetryOutcome {
     Taken, // Drawn from the allowance.
     Denied, // The allowance was used up.
     Free, // No byte of the attempt before was sent, so nothing is drawn.
 };
 
-std::string_view repeatOutcomeName(RepeatOutcome outcome);
+std::string_view retryOutcomeName(RetryOutcome outcome);
 
-struct RepeatKind
+struct RetryKey
 {
     std::string service;
     std::string cause;
-    RepeatOutcome outcome = RepeatOutcome::Taken;
+    RetryOutcome outcome = RetryOutcome::Taken;
 
-    bool operator<(const RepeatKind &other) const
+    bool operator<(const RetryKey &other) const
     {
         return std::tie(service, cause, outcome) < std::tie(other.service, other.cause, other.outcome);
     }
@@ -159,16 +159,16 @@
 {
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
-    std::uint64_t callersLeft = 0;
+    std::uint64_t callerDisconnects = 0;
     std::uint64_t connectionPauses = 0; // The host took no new connections for a moment.
     std::uint64_t attempts = 0;
-    std::uint64_t repeats = 0;
+    std::uint64_t retries = 0;
     std::uint64_t resumedStreams = 0;
-    std::uint64_t brokenOff = 0;
+    std::uint64_t truncatedAnswers = 0;
     std::uint64_t connectionsOpened = 0;
     std::map<ErrorKind, std::uint64_t> refusals;
     std::map<std::string, std::uint64_t> attemptsFailed; // By cause.
-    std::map<RepeatKind, std::uint64_t> repeatDraws;
+    std::map<RetryKey, std::uint64_t> retryDecisions;
     SendCounters sends;
     std::map<AnswerEnding, std::uint64_t> answersEnded; // Answers of endpoints, or what came of them.
     std::uint64_t convictions = 0; // Of requests, given here.
@@ -194,11 +194,11 @@
     {
         return m_options;
     }
-    void setRepeatRules(double ratio, double slack, Duration window)
+    void setRetryRules(double ratio, double slack, Duration window)
     {
-        m_options.repeats.ratio = ratio;
-        m_options.repeats.slack = slack;
-        m_options.repeats.window = window;
+        m_options.retryRules.ratio = ratio;
+        m_options.retryRules.slack = slack;
+        m_options.retryRules.window = window;
     }
     void setColdStartBounds(const ColdStartBounds &bounds)
     {
@@ -226,7 +226,7 @@
 
     // Whether this host was lately behind, and its document or its list of endpoints may still be from then, or one of
     // them is older than those of other routers.
-    bool isBehind(TimePoint now) const;
+    bool mayBeStale(TimePoint now) const;
 
     bool hasOutdatedCopy(TimePoint now) const;
 
@@ -234,41 +234,41 @@
     bool hasConfirmedDocument(TimePoint now) const;
 
     // Called when requests wait for tokens of a customer, with what they need in all.
-    std::function<void(const CustomerId &, Tokens needed)> onTokensWanted;
+    std::function<void(const CustomerId &, Tokens needed)> onTokensNeeded;
 
     // Called when tokens may have come, after the requests that wait here have been served.
-    std::function<void()> onTokensCame;
+    std::function<void()> onTokensAdded;
 
     // Called when a prompt goes to an engine that will take `reading` for what it has to read of it.
-    std::function<void(const PromptSent &, Duration reading)> onPromptSent;
+    std::function<void(const PromptSent &, Duration prefillTime)> onPromptSent;
 
     // Called when a request's connection has ended before its answer. `known` is called once, perhaps at once: when it
     // is known whether the endpoint has died, or after a short time.
-    std::function<void(const RequestCut &, std::function<void()> known)> onCut;
+    std::function<void(const InterruptedRequest &, std::function<void()> known)> onInterrupted;
 
     // Called for a request that may only be sent as a trial; `done` says whether it may.
-    std::function<void(const TrialWish &, std::function<void(bool)> done)> onTrialWanted;
+    std::function<void(const TrialRequest &, std::function<void(bool)> done)> onTrialRequested;
 
     // A trial has ended, and its endpoint has not died.
     std::function<void(std::uint64_t fingerprint)> onTrialEnded;
 
     // A request that is suspected, or was cut lately, has been answered whole.
-    std::function<void(std::uint64_t fingerprint)> onWholeAnswer;
+    std::function<void(std::uint64_t fingerprint)> onCompleteAnswer;
 
     // The same of an answer whose end its endpoint did not declare.
-    std::function<void(std::uint64_t fingerprint, const EndpointId &endpoint)> onDoubtfulAnswer;
+    std::function<void(std::uint64_t fingerprint, const EndpointId &endpoint)> onAnswerWithoutDeclaredEnd;
 
     void waitForTokens(const std::shared_ptr<RelayCall> &call);
     void stopWaiting(const std::shared_ptr<RelayCall> &call);
 
     // Tokens may have come: lets the requests that wait try again, oldest first.
-    void tokensCame();
+    void retryReservations();
 
     // Asks again for what waiting requests need.
-    void askAgain();
+    void requestNeededTokens();
 
     // Notes in the budgets what the requests that wait here and elsewhere need.
-    void noteWanted();
+    void updateTokenDemand();
 
     std::uint64_t random()
     {
@@ -287,7 +287,7 @@
     }
 
 private:
-    std::map<CustomerId, Tokens> neededHere() const;
+    std::map<CustomerId, Tokens> localTokenDemand() const;
 
     boost::asio::io_context &m_io;
     RelayOptions m_options;
--- a/godwit/relay/relay_call.cpp
+++ b/godwit/relay/relay_call.cpp
@@ -44,8 +44,8 @@
     , m_head(std::move(head))
     , m_body(std::move(body))
     , m_arrived(Relay::now())
-    , m_timer(relay.io())
-    , m_patience(relay.io())
+    , m_deadlineTimer(relay.io())
+    , m_budgetTimer(relay.io())
 {
     ++m_relay.callsOpen;
     ++m_relay.counters().requests;
@@ -61,8 +61,8 @@
     }
     m_facts = *facts;
     // Before the route: what the document of a host that is behind doesn't have may have been added seconds ago.
-    if (m_relay.isBehind(m_arrived)) {
-        refuse(ErrorKind::Overloaded, "this router is behind the others", comeBackByLot());
+    if (m_relay.mayBeStale(m_arrived)) {
+        refuse(ErrorKind::Overloaded, "this router is behind the others", randomizedRetryAfter());
         return;
     }
     if (!findRoute() || !findCustomer()) {
@@ -72,10 +72,10 @@
         refuseSuspect();
         return;
     }
-    const Duration callerPatience = m_facts.timeLeft.value_or(m_route->timeout);
-    m_deadline = m_arrived + std::min(m_route->timeout, callerPatience - m_relay.options().answerMargin);
-    m_timer.expires_at(m_deadline);
-    m_timer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
+    const Duration callerTimeLeft = m_facts.timeLeft.value_or(m_route->timeout);
+    m_deadline = m_arrived + std::min(m_route->timeout, callerTimeLeft - m_relay.options().answerMargin);
+    m_deadlineTimer.expires_at(m_deadline);
+    m_deadlineTimer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
         if (!error) {
             self->onDeadline();
         }
@@ -87,7 +87,8 @@
 {
     m_table = m_relay.state().routes;
     if (!m_table) {
-        refuse(ErrorKind::NotConfigured, "this router has read no configuration yet", m_relay.options().comeBack);
+        refuse(
+            ErrorKind::NotConfigured, "this router has read no configuration yet", m_relay.options().defaultRetryAfter);
         return false;
     }
     if (m_relay.state().stage == RelayStage::Stopping) {
@@ -102,7 +103,7 @@
     m_serviceName = pickService(*m_route, stableHash(m_facts.attemptId));
     m_service = findService(*m_table, m_serviceName);
     restrictTo(m_regions, m_route->allowedRegions);
-    countRequest(m_relay.state().repeats[m_serviceName], m_relay.options().repeats, m_arrived);
+    countRequest(m_relay.state().retryAllowances[m_serviceName], m_relay.options().retryRules, m_arrived);
     return true;
 }
 
@@ -113,7 +114,7 @@
     if (m_relay.hasConfirmedDocument(m_arrived)) {
         refuse(kind, message, std::nullopt);
     } else {
-        refuse(ErrorKind::NotConfigured, "unconfirmed document: " + message, comeBackByLot());
+        refuse(ErrorKind::NotConfigured, "unconfirmed document: " + message, randomizedRetryAfter());
     }
 }
 
@@ -139,10 +140,10 @@
 }
 
 // Callers that are refused together should not come back together.
-Duration RelayCall::comeBackByLot() const
+Duration RelayCall::randomizedRetryAfter() const
 {
-    const double lot = static_cast<double>(m_relay.random() % 1024) / 1024.0;
-    return std::chrono::duration_cast<Duration>(m_relay.options().comeBack * (0.3 + 2 * lot));
+    const double fraction = static_cast<double>(m_relay.random() % 1024) / 1024.0;
+    return std::chrono::duration_cast<Duration>(m_relay.options().defaultRetryAfter * (0.3 + 2 * fraction));
 }
 
 void RelayCall::attempt()
@@ -154,17 +155,17 @@
         return;
     }
     if (admission == Admission::NotYet) {
-        refuseForNow();
+        refuseSuspectForNow();
         return;
     }
-    const bool trial = admission == Admission::Trial && m_relay.onTrialWanted;
-    if (trial && !maySpareTrial()) {
-        refuseForNow();
+    const bool trial = admission == Admission::Trial && m_relay.onTrialRequested;
+    if (trial && !canAffordTrial()) {
+        refuseSuspectForNow();
         return;
     }
     ChoiceQuery query;
     query.service = m_serviceName;
-    query.tried = m_tried;
+    query.tried = m_triedEndpoints;
     if (trial) {
         const auto &others = m_relay.state().trialEndpoints;
         query.tried.insert(query.tried.end(), others.begin(), others.end());
@@ -186,48 +187,48 @@
     const Choice choice =
         chooseEndpoint(m_relay.state().endpoints, query, m_relay.options().choice, m_relay.random(), Relay::now());
     if (choice.endpoint == nullptr) {
-        if (m_headPassed) {
+        if (m_headForwarded) {
             // A refusal's head in the middle of a stream would be bytes that are no answer.
-            breakOff("no_endpoint");
+            abortAnswer("no_endpoint");
         } else if (trial && !m_relay.state().trialEndpoints.empty()) {
-            refuseForNow();
+            refuseSuspectForNow();
         } else if (m_progress == Progress::Sent) {
             refuse(ErrorKind::EndpointFailed, "the endpoint failed and no other is left", std::nullopt);
         } else {
-            refuse(ErrorKind::NoEndpoint, "no endpoint of the service takes requests", endpointsBack());
+            refuse(ErrorKind::NoEndpoint, "no endpoint of the service takes requests", endpointRetryAfter());
         }
         return;
     }
     if (trial) {
-        askForTrial(choice);
+        requestTrial(choice);
     } else {
-        begin(choice);
+        startAttempt(choice);
     }
 }
 
-void RelayCall::begin(const Choice &choice)
+void RelayCall::startAttempt(const Choice &choice)
 {
     sendTo(choice);
     if (m_service != nullptr && m_service->engine && m_facts.promptTokens > 0) {
-        beginReading(*choice.endpoint, choice.unread);
+        beginPrefill(*choice.endpoint, choice.unread);
     }
 }
 
 // When the caller should come back for want of an endpoint: where all are cold, once the first is warm.
-Duration RelayCall::endpointsBack() const
+Duration RelayCall::endpointRetryAfter() const
 {
     const TimePoint now = Relay::now();
     const auto warm = warmAgainAt(m_relay.state().endpoints, m_serviceName, now);
-    return warm ? *warm - now + comeBackByLot() : m_relay.options().comeBack;
+    return warm ? *warm - now + randomizedRetryAfter() : m_relay.options().defaultRetryAfter;
 }
 
-void RelayCall::beginReading(EndpointState &endpoint, Tokens unread)
+void RelayCall::beginPrefill(EndpointState &endpoint, Tokens unread)
 {
     const EngineSpeed &speed = m_relay.state().endpoints.speeds[m_serviceName];
     do {
-        m_read = m_relay.random();
-    } while (m_read == 0);
-    beginRead(endpoint.load, speed, m_read, unread, m_sentAt);
+        m_prefill = m_relay.random();
+    } while (m_prefill == 0);
+    beginRead(endpoint.load, speed, m_prefill, unread, m_sentAt);
     if (m_relay.onPromptSent) {
         PromptSent prompt{m_endpoint, unread, {}};
         if (m_route->cachesPrompts) {
@@ -240,19 +241,19 @@
 void RelayCall::onFirstEvent()
 {
     EndpointState *endpoint = currentEndpoint();
-    if (m_read != 0 && endpoint != nullptr) {
-        endRead(endpoint->load, m_relay.state().endpoints.speeds[m_serviceName], m_read, Relay::now());
+    if (m_prefill != 0 && endpoint != nullptr) {
+        endRead(endpoint->load, m_relay.state().endpoints.speeds[m_serviceName], m_prefill, Relay::now());
     }
-    m_read = 0;
+    m_prefill = 0;
 }
 
-void RelayCall::stopReading()
+void RelayCall::dropPrefill()
 {
     EndpointState *endpoint = currentEndpoint();
-    if (m_read != 0 && endpoint != nullptr) {
-        dropRead(endpoint->load, m_relay.state().endpoints.speeds[m_serviceName], m_read, Relay::now());
+    if (m_prefill != 0 && endpoint != nullptr) {
+        dropRead(endpoint->load, m_relay.state().endpoints.speeds[m_serviceName], m_prefill, Relay::now());
     }
-    m_read = 0;
+    m_prefill = 0;
 }
 
 // Asked once the connection stands.
@@ -264,7 +265,7 @@
     }
     const TimePoint now = Relay::now();
     const bool limited = isLimited(m_relay.state().endpoints, *chosen, now);
-    return !limited || (m_coldChoice && now < m_sentAt + m_relay.options().coldChoiceHolds);
+    return !limited || (m_coldChoice && now < m_sentAt + m_relay.options().coldChoiceMaxAge);
 }
 
 void RelayCall::sendTo(const Choice &choice)
@@ -275,18 +276,18 @@
     send.customer = m_customer.value;
     send.timeLeft = timeLeft();
     send.urgency = std::clamp(m_urgency, 0, LeastUrgent);
-    if (m_eventsPassed > 0) {
+    if (m_eventsForwarded > 0) {
         send.resumeAfter = m_lastEvent;
     }
     m_endpoint = endpoint.listed.id;
     m_endpointStart = endpoint.listed.startedAt;
-    m_tried.push_back(m_endpoint);
+    m_triedEndpoints.push_back(m_endpoint);
     m_sentAt = Relay::now();
     m_attemptOpen = true;
     m_coldChoice = choice.cold;
     m_answerHead.reset();
-    m_ending.reset();
-    m_whole.clear();
+    m_answerEnding.reset();
+    m_bufferedBody.clear();
     m_events = {};
     ++m_sends;
     ++m_relay.counters().attempts;
@@ -298,7 +299,7 @@
         return self->maySend();
     };
     handlers.onSending = [self, left = send.timeLeft] {
-        self->noteSending(left);
+        self->recordSending(left);
     };
     handlers.onHead = [self](const AnswerHead &head, const AnswerFacts &facts) {
         self->onHead(head, facts);
@@ -322,24 +323,24 @@
 
 void RelayCall::onFailed(ExchangeFailure failure)
 {
-    const bool nothingSent = failure == ExchangeFailure::NotConnected || failure == ExchangeFailure::Withdrawn;
+    const bool nothingSent = failure == ExchangeFailure::NotConnected || failure == ExchangeFailure::EndpointLeft;
     if (nothingSent) {
-        endAttempt(failure == ExchangeFailure::Withdrawn ? AttemptVerdict::Neutral : AttemptVerdict::Unreachable);
-        tryAgain(std::string(exchangeFailureName(failure)), false);
+        endAttempt(failure == ExchangeFailure::EndpointLeft ? AttemptVerdict::Neutral : AttemptVerdict::Unreachable);
+        retryOrFail(std::string(exchangeFailureName(failure)), false);
         return;
     }
     if (m_answerHead) {
-        noteEnding();
+        recordAnswerEnding();
     }
     m_progress = Progress::Sent;
-    ++m_ran;
-    m_mayHaveBegun = true;
+    ++m_possibleExecutions;
+    m_mayHaveProducedOutput = true;
     endAttempt(AttemptVerdict::Unreachable);
     const std::string cause(exchangeFailureName(failure));
     if (failure == ExchangeFailure::Malformed) {
-        tryAgain(cause, true);
+        retryOrFail(cause, true);
     } else {
-        tryAgainOnceKnown(cause);
+        retryAfterCrashCheck(cause);
     }
 }
 
@@ -349,31 +350,32 @@
         return;
     }
     if (m_attemptOpen) {
-        giveUpAttempt();
+        abandonAttempt();
     }
-    if (m_headPassed) {
-        breakOff("deadline");
+    if (m_headForwarded) {
+        abortAnswer("deadline");
     } else if (m_progress == Progress::Sent) {
         refuse(ErrorKind::AnswerLate, "the endpoint did not answer in time", std::nullopt);
     } else {
-        refuse(ErrorKind::Overloaded, "no endpoint took the request in time", m_relay.options().comeBack);
+        refuse(ErrorKind::Overloaded, "no endpoint took the request in time", m_relay.options().defaultRetryAfter);
     }
 }
 
 // Nobody waits for the open attempt's answer any more.
-void RelayCall::giveUpAttempt()
+void RelayCall::abandonAttempt()
 {
     m_progress = Progress::Sent;
-    ++m_ran;
+    ++m_possibleExecutions;
     // Only the events of a stream show how far its engine has come: an answer in one piece may be made without a byte.
-    const bool eventsTell = m_route->kind == GatewayRouteKind::Streaming && m_eventsPassed == 0;
-    if (m_holdsTokens && !m_mayHaveBegun && eventsTell) {
+    const bool eventsShowProgress = m_route->kind == GatewayRouteKind::Streaming && m_eventsForwarded == 0;
+    if (m_hasReservation && !m_mayHaveProducedOutput && eventsShowProgress) {
         m_withdrawing = true;
-        m_exchange->withdraw(m_relay.options().withdrawalLimit, [self = shared_from_this()](WithdrawalOutcome outcome) {
-            self->onWithdrawn(outcome);
-        });
+        m_exchange->withdraw(m_relay.options().withdrawalTimeout,
+                             [self = shared_from_this()](WithdrawalOutcome outcome) {
+                                 self->onWithdrawn(outcome);
+                             });
     } else {
-        m_mayHaveBegun = true;
+        m_mayHaveProducedOutput = true;
         m_exchange->cancel();
     }
     endAttempt(silenceVerdict());
@@ -382,7 +384,7 @@
 void RelayCall::onWithdrawn(WithdrawalOutcome outcome)
 {
     m_withdrawing = false;
-    m_mayHaveBegun = outcome == WithdrawalOutcome::Answered || outcome == WithdrawalOutcome::Unknown;
+    m_mayHaveProducedOutput = outcome == WithdrawalOutcome::Answered || outcome == WithdrawalOutcome::Unknown;
     m_relay.log().write("withdrawn",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"endpoint", std::string_view(m_endpoint.value)},
@@ -398,31 +400,31 @@
 AttemptVerdict RelayCall::silenceVerdict() const
 {
     const Duration silence = Relay::now() - std::max(m_sentAt, m_lastEventAt.value_or(m_sentAt));
-    return silence >= m_relay.options().suspiciousSilence ? AttemptVerdict::Slow : AttemptVerdict::Neutral;
+    return silence >= m_relay.options().slowEndpointThreshold ? AttemptVerdict::Slow : AttemptVerdict::Neutral;
 }
 
-void RelayCall::callerLeft()
+void RelayCall::onCallerDisconnected()
 {
     if (m_closed) {
         return;
     }
-    ++m_relay.counters().callersLeft;
+    ++m_relay.counters().callerDisconnects;
     if (m_attemptOpen) {
-        giveUpAttempt();
+        abandonAttempt();
     }
     m_relay.log().write("caller_left",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"after_ms", toMilliseconds(Relay::now() - m_arrived)},
-                         {"may_have_run", m_ran > 0},
-                         {"events_passed", static_cast<std::int64_t>(m_eventsPassed)}});
-    close(CallEnd::CallerLeft);
+                         {"may_have_run", m_possibleExecutions > 0},
+                         {"events_passed", static_cast<std::int64_t>(m_eventsForwarded)}});
+    close(CallEnd::CallerDisconnected);
 }
 
 void RelayCall::endAttempt(AttemptVerdict verdict)
 {
     m_attemptOpen = false;
     m_exchange.reset();
-    stopReading();
+    dropPrefill();
     if (EndpointState *endpoint = currentEndpoint()) {
         Godwit::endAttempt(*endpoint, verdict, m_relay.options().choice, Relay::now());
     }
@@ -451,7 +453,7 @@
                          {"after_ms", toMilliseconds(Relay::now() - m_arrived)},
                          {"document", static_cast<std::int64_t>(m_table ? m_table->document.version : 0)},
                          {"platform_in_reach", m_relay.state().platformInReach},
-                         {"may_have_run", m_ran > 0}});
+                         {"may_have_run", m_possibleExecutions > 0}});
     auto *sink = m_sink;
     const std::string bytes = writeRefusal(error, m_facts.attemptId, sink->beginAnswer(AnswerFraming::Length));
     close(CallEnd::Refused);
@@ -459,18 +461,18 @@
     sink->finish();
 }
 
-void RelayCall::breakOff(std::string_view cause)
+void RelayCall::abortAnswer(std::string_view cause)
 {
-    ++m_relay.counters().brokenOff;
+    ++m_relay.counters().truncatedAnswers;
     m_relay.log().write("broken_off",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"cause", cause},
                          {"endpoint", std::string_view(m_endpoint.value)},
-                         {"events_passed", static_cast<std::int64_t>(m_eventsPassed)},
+                         {"events_passed", static_cast<std::int64_t>(m_eventsForwarded)},
                          {"after_ms", toMilliseconds(Relay::now() - m_arrived)}});
     auto *sink = m_sink;
-    close(CallEnd::BrokenOff);
-    sink->breakOff();
+    close(CallEnd::Truncated);
+    sink->abort();
 }
 
 void RelayCall::close(CallEnd end)
@@ -481,13 +483,13 @@
     m_closed = true;
     m_end = end;
     endTrial();
-    m_timer.cancel();
-    m_patience.cancel();
-    if (m_waitsForTokens) {
-        m_waitsForTokens = false;
+    m_deadlineTimer.cancel();
+    m_budgetTimer.cancel();
+    if (m_waitingForTokens) {
+        m_waitingForTokens = false;
         m_relay.stopWaiting(shared_from_this());
     }
-    if (m_holdsTokens && !m_withdrawing) {
+    if (m_hasReservation && !m_withdrawing) {
         settleTokens();
     }
     recordEnd(end);
--- a/godwit/relay/relay_call.h
+++ b/godwit/relay/relay_call.h
@@ -39,7 +39,7 @@
     // The answer is complete.
     virtual void finish() = 0;
     // The answer can't be completed: the caller must see that it is cut.
-    virtual void breakOff() = 0;
+    virtual void abort() = 0;
     // Called before the head of an answer that is framed so. Returns whether the connection closes after it.
     virtual bool beginAnswer(AnswerFraming framing) = 0;
 };
@@ -53,13 +53,13 @@
     void start();
 
     // The caller's connection has ended. No call to the sink follows.
-    void callerLeft();
+    void onCallerDisconnected();
 
     // The caller has read some of what was queued.
     void sinkDrained();
 
     // Tries the reservation again; false when the request still waits.
-    bool takeTokens();
+    bool tryReserve();
 
     const CustomerId &customer() const
     {
@@ -83,45 +83,45 @@
     void reserveTokens();
     void logReservation() const;
     void refuseForBudget(const std::string &message);
-    Duration tokensBack() const;
-    Duration comeBackByLot() const;
+    Duration tokenRetryAfter() const;
+    Duration randomizedRetryAfter() const;
     void attempt();
-    void begin(const Choice &choice);
+    void startAttempt(const Choice &choice);
     void sendTo(const Choice &choice);
-    void noteSending(Duration timeLeft);
+    void recordSending(Duration timeLeft);
     bool maySend();
-    Duration endpointsBack() const;
+    Duration endpointRetryAfter() const;
     void onHead(const AnswerHead &head, const AnswerFacts &facts);
     void onBody(std::string_view bytes);
     void onEnd();
     void onFailed(ExchangeFailure failure);
-    void passEvents(std::string_view bytes);
-    void passHead(AnswerFraming framing, std::string_view body = {});
-    void passPiece(std::string_view bytes);
-    void noteEnding();
-    void tryAgainOnceKnown(const std::string &cause);
-    void noteWholeAnswer();
+    void forwardEvents(std::string_view bytes);
+    void forwardHead(AnswerFraming framing, std::string_view body = {});
+    void forwardPiece(std::string_view bytes);
+    void recordAnswerEnding();
+    void retryAfterCrashCheck(const std::string &cause);
+    void reportCompleteAnswer();
     Admission admissionNow();
     void refuseSuspect();
-    bool maySpareTrial();
-    void refuseForNow();
-    void askForTrial(const Choice &choice);
+    bool canAffordTrial();
+    void refuseSuspectForNow();
+    void requestTrial(const Choice &choice);
     void endTrial();
     SuspectLabel label() const;
     std::uint64_t fingerprint();
     void logUndeclaredEnd() const;
     void endAttempt(AttemptVerdict verdict);
     AttemptVerdict silenceVerdict() const;
-    void giveUpAttempt();
+    void abandonAttempt();
     void onWithdrawn(WithdrawalOutcome outcome);
-    void tryAgain(const std::string &cause, bool reachedEndpoint);
-    bool mayRepeat() const;
-    bool drawRepeat(std::string_view cause);
-    void recordRepeat(std::string_view cause, RepeatOutcome outcome, const RepeatDraw &draw);
+    void retryOrFail(const std::string &cause, bool reachedEndpoint);
+    bool mayRetry() const;
+    bool takeRetry(std::string_view cause);
+    void recordRetry(std::string_view cause, RetryOutcome outcome, const RepeatDraw &draw);
     bool runsAtMostOnce() const;
     void onDeadline();
     void refuse(ErrorKind kind, std::string message, std::optional<Duration> retryAfter);
-    void breakOff(std::string_view cause);
+    void abortAnswer(std::string_view cause);
     void complete();
     void close(CallEnd end);
     void settleTokens();
@@ -130,9 +130,9 @@
     Tokens usedTokens() const;
     Duration timeLeft() const;
     EndpointState *currentEndpoint();
-    void beginReading(EndpointState &endpoint, Tokens unread);
+    void beginPrefill(EndpointState &endpoint, Tokens unread);
     void onFirstEvent();
-    void stopReading();
+    void dropPrefill();
 
     Relay &m_relay;
     AnswerSink *m_sink;
@@ -150,40 +150,40 @@
 
     TimePoint m_arrived;
     TimePoint m_deadline;
-    boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_patience;
+    boost::asio::steady_timer m_deadlineTimer;
+    boost::asio::steady_timer m_budgetTimer;
 
     Tokens m_worstCase = 0;
-    bool m_holdsTokens = false;
-    bool m_waitsForTokens = false;
+    bool m_hasReservation = false;
+    bool m_waitingForTokens = false;
 
     Progress m_progress = Progress::NotRun;
-    std::vector<EndpointId> m_tried;
-    int m_ran = 0; // Endpoints on which it may have run.
-    bool m_mayHaveBegun = false; // An endpoint may have made a part of an answer.
+    std::vector<EndpointId> m_triedEndpoints;
+    int m_possibleExecutions = 0; // Endpoints on which it may have run.
+    bool m_mayHaveProducedOutput = false; // An endpoint may have made a part of an answer.
     bool m_withdrawing = false; // It is not known yet whether the last endpoint had.
     int m_sends = 0;
     std::shared_ptr<EndpointExchange> m_exchange;
     EndpointId m_endpoint;
     EndpointStart m_endpointStart = 0;
     TimePoint m_sentAt;
-    std::optional<TimePoint> m_drawnAt; // When another send was granted.
+    std::optional<TimePoint> m_retryGrantedAt; // When another send was granted.
     bool m_attemptOpen = false;
     bool m_newConnection = false; // Of the latest attempt.
     bool m_trial = false; // The latest attempt is the fleet's one run of a suspect.
     bool m_coldChoice = false; // The latest attempt is one of the few that a cold endpoint gets.
-    ReadId m_read = 0; // The prompt that the endpoint still has to read; 0: none.
+    ReadId m_prefill = 0; // The prompt that the endpoint still has to read; 0: none.
 
     std::optional<AnswerHead> m_answerHead;
     AnswerFacts m_answer;
-    std::optional<AnswerEnding> m_ending; // Of the latest attempt's answer, once it has ended.
-    bool m_streams = false; // The answer is passed on event by event.
-    bool m_headPassed = false;
-    AnswerFraming m_passedFraming = AnswerFraming::Length; // Once the head has been passed on.
-    std::string m_whole; // An answer that is gathered before it is passed on.
+    std::optional<AnswerEnding> m_answerEnding; // Of the latest attempt's answer, once it has ended.
+    bool m_forwardsEvents = false; // The answer is passed on event by event.
+    bool m_headForwarded = false;
+    AnswerFraming m_forwardedFraming = AnswerFraming::Length; // Once the head has been passed on.
+    std::string m_bufferedBody; // An answer that is gathered before it is passed on.
     EventSplitter m_events;
     std::uint64_t m_lastEvent = 0;
-    std::uint64_t m_eventsPassed = 0;
+    std::uint64_t m_eventsForwarded = 0;
     std::optional<TimePoint> m_firstAnswerAt; // The first event, or an answer in one piece.
     std::optional<TimePoint> m_lastEventAt;
     bool m_closed = false;
--- a/godwit/relay/relay_call_answer.cpp
+++ b/godwit/relay/relay_call_answer.cpp
@@ -33,52 +33,53 @@
     m_answerHead = head;
     m_answer = facts;
     const bool success = facts.status / 100 == 2;
-    m_streams = success && facts.sealed && facts.carriesEvents && m_route->kind == GatewayRouteKind::Streaming;
-    if (m_streams && !m_headPassed) {
-        passHead(AnswerFraming::Chunked);
+    m_forwardsEvents = success && facts.sealed && facts.carriesEvents && m_route->kind == GatewayRouteKind::Streaming;
+    if (m_forwardsEvents && !m_headForwarded) {
+        forwardHead(AnswerFraming::Chunked);
     }
 }
 
-void RelayCall::passHead(AnswerFraming framing, std::string_view body)
+void RelayCall::forwardHead(AnswerFraming framing, std::string_view body)
 {
-    m_headPassed = true;
-    m_passedFraming = framingToPass(m_answer.framing, framing);
-    m_relay.counters().answersWithoutDeclaredEnd += m_passedFraming == AnswerFraming::Connection ? 1 : 0;
-    const bool closes = m_sink->beginAnswer(m_passedFraming);
-    m_sink->send(writeAnswerHead(*m_answerHead, m_passedFraming, body.size(), closes).append(body));
+    m_headForwarded = true;
+    m_forwardedFraming = framingToPass(m_answer.framing, framing);
+    m_relay.counters().answersWithoutDeclaredEnd += m_forwardedFraming == AnswerFraming::Connection ? 1 : 0;
+    const bool closes = m_sink->beginAnswer(m_forwardedFraming);
+    m_sink->send(writeAnswerHead(*m_answerHead, m_forwardedFraming, body.size(), closes).append(body));
 }
 
-void RelayCall::passPiece(std::string_view bytes)
+void RelayCall::forwardPiece(std::string_view bytes)
 {
-    m_sink->send(m_passedFraming == AnswerFraming::Chunked ? chunk(bytes) : std::string(bytes));
+    m_sink->send(m_forwardedFraming == AnswerFraming::Chunked ? chunk(bytes) : std::string(bytes));
 }
 
 void RelayCall::onBody(std::string_view bytes)
 {
-    if (m_streams) {
-        passEvents(bytes);
+    if (m_forwardsEvents) {
+        forwardEvents(bytes);
         return;
     }
-    m_whole.append(bytes);
-    if (m_whole.size() > m_relay.options().wholeAnswerBytes && m_answer.status / 100 == 2 && m_answer.sealed) {
+    m_bufferedBody.append(bytes);
+    if (m_bufferedBody.size() > m_relay.options().maxBufferedAnswerBytes && m_answer.status / 100 == 2
+        && m_answer.sealed) {
         // Too long to hold back: pass it on as it comes, in pieces whose end shows.
-        if (!m_headPassed) {
-            passHead(AnswerFraming::Chunked);
+        if (!m_headForwarded) {
+            forwardHead(AnswerFraming::Chunked);
         }
-        passPiece(std::exchange(m_whole, {}));
+        forwardPiece(std::exchange(m_bufferedBody, {}));
     }
-    if (m_exchange && m_sink->queuedBytes() > m_relay.options().callerQueueBytes) {
+    if (m_exchange && m_sink->queuedBytes() > m_relay.options().maxCallerQueueBytes) {
         m_exchange->pause();
     }
 }
 
-void RelayCall::passEvents(std::string_view bytes)
+void RelayCall::forwardEvents(std::string_view bytes)
 {
     appendBytes(m_events, bytes);
     std::string whole;
     while (auto event = takeEvent(m_events)) {
         m_lastEvent = eventNumber(*event).value_or(m_lastEvent);
-        ++m_eventsPassed;
+        ++m_eventsForwarded;
         whole += *event;
     }
     if (whole.empty()) {
@@ -87,8 +88,8 @@
     onFirstEvent();
     m_lastEventAt = Relay::now();
     m_firstAnswerAt = m_firstAnswerAt.value_or(*m_lastEventAt);
-    passPiece(whole);
-    if (m_exchange && m_sink->queuedBytes() > m_relay.options().callerQueueBytes) {
+    forwardPiece(whole);
+    if (m_exchange && m_sink->queuedBytes() > m_relay.options().maxCallerQueueBytes) {
         m_exchange->pause();
     }
 }
@@ -101,92 +102,92 @@
 }
 
 // Of an attempt whose answer has begun.
-void RelayCall::noteEnding()
+void RelayCall::recordAnswerEnding()
 {
     AnswerEnding ending;
     ending.framing = m_answer.framing;
     ending.connection = m_exchange->connectionEnd();
-    if (m_streams) {
+    if (m_forwardsEvents) {
         ending.position = positionIn(m_events);
     }
-    m_ending = ending;
+    m_answerEnding = ending;
     ++m_relay.counters().answersEnded[ending];
 }
 
 // Writes a line for an answer whose end its endpoint didn't declare, or declared inside an event.
 void RelayCall::logUndeclaredEnd() const
 {
-    const auto position = m_ending->position.value_or(StreamPosition::AtEdge);
+    const auto position = m_answerEnding->position.value_or(StreamPosition::AtEdge);
     const bool insideEvent = position == StreamPosition::InsideNumber || position == StreamPosition::InsideEvent;
-    if (m_ending->framing != AnswerFraming::Connection && !insideEvent) {
+    if (m_answerEnding->framing != AnswerFraming::Connection && !insideEvent) {
         return;
     }
     m_relay.log().write("answer_ended",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"endpoint", std::string_view(m_endpoint.value)},
                          {"status", static_cast<std::int64_t>(m_answer.status)},
-                         {"framing", answerFramingName(m_ending->framing)},
-                         {"connection", connectionEndName(m_ending->connection)},
-                         {"position", positionName(*m_ending)},
-                         {"extent", answerExtentName(extentOf(*m_ending))},
+                         {"framing", answerFramingName(m_answerEnding->framing)},
+                         {"connection", connectionEndName(m_answerEnding->connection)},
+                         {"position", positionName(*m_answerEnding)},
+                         {"extent", answerExtentName(extentOf(*m_answerEnding))},
                          {"pending_bytes", static_cast<std::int64_t>(pendingBytes(m_events))},
-                         {"events_passed", static_cast<std::int64_t>(m_eventsPassed)},
+                         {"events_passed", static_cast<std::int64_t>(m_eventsForwarded)},
                          {"attempt_ms", toMilliseconds(Relay::now() - m_sentAt)}});
 }
 
 void RelayCall::onEnd()
 {
-    noteEnding();
+    recordAnswerEnding();
     logUndeclaredEnd();
     const bool success = m_answer.status / 100 == 2;
     if (m_answer.notRun) {
         // Between streams that are resumed a refusal leaves the earlier part as it was.
         endAttempt(AttemptVerdict::Shed);
-        tryAgain(m_answer.otherEndpoint ? "address_reused" : "shed", true);
+        retryOrFail(m_answer.otherEndpoint ? "address_reused" : "shed", true);
         return;
     }
     m_progress = Progress::Sent;
-    ++m_ran;
-    m_mayHaveBegun = true;
+    ++m_possibleExecutions;
+    m_mayHaveProducedOutput = true;
     if (success && !m_answer.sealed) {
         endAttempt(AttemptVerdict::Failed);
-        tryAgain("unsealed_answer", true);
+        retryOrFail("unsealed_answer", true);
         return;
     }
-    if (m_headPassed && !m_streams && m_route->kind == GatewayRouteKind::Streaming) {
+    if (m_headForwarded && !m_forwardsEvents && m_route->kind == GatewayRouteKind::Streaming) {
         // A stream that should go on was answered with a failure, perhaps before its first event. Passed on, its text
         // would end the stream as if that were whole.
         endAttempt(AttemptVerdict::Failed);
-        tryAgain("resume_failed", true);
+        retryOrFail("resume_failed", true);
         return;
     }
-    const AnswerExtent extent = extentOf(*m_ending);
+    const AnswerExtent extent = extentOf(*m_answerEnding);
     if (extent == AnswerExtent::BrokenOff) {
         endAttempt(AttemptVerdict::Unreachable);
-        if (m_ending->connection == ConnectionEnd::Open) {
-            tryAgain("ended_inside_stream", true);
+        if (m_answerEnding->connection == ConnectionEnd::Open) {
+            retryOrFail("ended_inside_stream", true);
         } else {
-            tryAgainOnceKnown("ended_inside_stream");
+            retryAfterCrashCheck("ended_inside_stream");
         }
         return;
     }
     const bool failed = m_answer.status >= 500;
     endAttempt(failed ? AttemptVerdict::Failed : AttemptVerdict::Good);
-    if (m_headPassed && !mayEndWhole(m_passedFraming, extent)) {
-        tryAgain("end_not_declared", true);
+    if (m_headForwarded && !mayEndWhole(m_forwardedFraming, extent)) {
+        retryOrFail("end_not_declared", true);
         return;
     }
-    if (failed && mayRepeat() && !m_headPassed && drawRepeat("failed_answer")) {
-        ++m_relay.counters().repeats;
-        m_drawnAt = Relay::now();
+    if (failed && mayRetry() && !m_headForwarded && takeRetry("failed_answer")) {
+        ++m_relay.counters().retries;
+        m_retryGrantedAt = Relay::now();
         attempt();
         return;
     }
-    if (!m_headPassed) {
+    if (!m_headForwarded) {
         m_firstAnswerAt = Relay::now();
-        passHead(AnswerFraming::Length, m_whole);
-    } else if (const std::string rest = m_streams ? takePending(m_events) : m_whole; !rest.empty()) {
-        passPiece(rest);
+        forwardHead(AnswerFraming::Length, m_bufferedBody);
+    } else if (const std::string rest = m_forwardsEvents ? takePending(m_events) : m_bufferedBody; !rest.empty()) {
+        forwardPiece(rest);
     }
     complete();
 }
@@ -194,9 +195,9 @@
 void RelayCall::complete()
 {
     ++m_relay.counters().answered;
-    noteWholeAnswer();
+    reportCompleteAnswer();
     auto *sink = m_sink;
-    if (m_passedFraming == AnswerFraming::Chunked) {
+    if (m_forwardedFraming == AnswerFraming::Chunked) {
         sink->send("0\r\n\r\n");
     }
     close(CallEnd::Answered);
--- a/godwit/relay/relay_call_repeats.cpp
+++ b/godwit/relay/relay_call_retries.cpp
@@ -7,7 +7,7 @@
 namespace Godwit
 {
 
-void RelayCall::noteSending(Duration timeLeft)
+void RelayCall::recordSending(Duration timeLeft)
 {
     const TimePoint now = Relay::now();
     const auto &deathCount = m_relay.state().suspects.deathCount;
@@ -16,13 +16,13 @@
     record.service = m_serviceName;
     record.endpoint = m_endpoint.value;
     record.sends = m_sends;
-    record.ran = m_ran;
+    record.possibleExecutions = m_possibleExecutions;
     record.maxEndpoints = m_route->maxEndpoints;
-    if (m_drawnAt) {
-        record.sinceDraw = now - *m_drawnAt;
+    if (m_retryGrantedAt) {
+        record.sinceRetryGranted = now - *m_retryGrantedAt;
     }
     record.timeLeft = timeLeft;
-    record.sinceReckoned = now - m_sentAt;
+    record.timeLeftAge = now - m_sentAt;
     record.sinceArrival = now - m_arrived;
     const auto found = deathCount.empty() ? deathCount.end() : deathCount.find(fingerprint());
     if (found != deathCount.end()) {
@@ -40,31 +40,31 @@
 }
 
 // Whether another endpoint may get the request now.
-bool RelayCall::mayRepeat() const
+bool RelayCall::mayRetry() const
 {
-    if (m_ran > 0 && (runsAtMostOnce() || m_ran >= m_route->maxEndpoints)) {
+    if (m_possibleExecutions > 0 && (runsAtMostOnce() || m_possibleExecutions >= m_route->maxEndpoints)) {
         return false;
     }
     return timeLeft() > Duration::zero();
 }
 
-bool RelayCall::drawRepeat(std::string_view cause)
+bool RelayCall::takeRetry(std::string_view cause)
 {
     const RelayOptions &options = m_relay.options();
     RelayState &state = m_relay.state();
     const TimePoint now = Relay::now();
     const double part = partOf(usableShares(state.limitShares, now, Relay::uptime()));
-    const RepeatDraw draw = takeRepeat(state.repeats[m_serviceName], options.repeats, part, now);
-    recordRepeat(cause, draw.granted ? RepeatOutcome::Taken : RepeatOutcome::Denied, draw);
+    const RepeatDraw draw = takeRepeat(state.retryAllowances[m_serviceName], options.retryRules, part, now);
+    recordRetry(cause, draw.granted ? RetryOutcome::Taken : RetryOutcome::Denied, draw);
     return draw.granted;
 }
 
-void RelayCall::recordRepeat(std::string_view cause, RepeatOutcome outcome, const RepeatDraw &draw)
+void RelayCall::recordRetry(std::string_view cause, RetryOutcome outcome, const RepeatDraw &draw)
 {
-    ++m_relay.counters().repeatDraws[{m_serviceName, std::string(cause), outcome}];
+    ++m_relay.counters().retryDecisions[{m_serviceName, std::string(cause), outcome}];
     m_relay.log().write("repeat",
                         {{"id", std::string_view(m_facts.attemptId)},
-                         {"outcome", repeatOutcomeName(outcome)},
+                         {"outcome", retryOutcomeName(outcome)},
                          {"service", std::string_view(m_serviceName)},
                          {"cause", cause},
                          {"endpoint", std::string_view(m_endpoint.value)},
@@ -77,7 +77,7 @@
                          {"shares", static_cast<std::int64_t>(m_relay.state().limitShares.held.size())}});
 }
 
-void RelayCall::tryAgain(const std::string &cause, bool reachedEndpoint)
+void RelayCall::retryOrFail(const std::string &cause, bool reachedEndpoint)
 {
     ++m_relay.counters().attemptsFailed[cause];
     const std::string request = fingerprintText(m_fingerprint.value_or(0));
@@ -88,37 +88,37 @@
                          {"new_connection", m_newConnection},
                          {"attempt_ms", toMilliseconds(Relay::now() - m_sentAt)},
                          {"status", static_cast<std::int64_t>(m_answerHead ? m_answer.status : 0)},
-                         {"framing", m_ending ? answerFramingName(m_ending->framing) : "none"},
-                         {"connection", m_ending ? connectionEndName(m_ending->connection) : "none"},
-                         {"position", m_ending ? positionName(*m_ending) : "none"},
-                         {"events_passed", static_cast<std::int64_t>(m_eventsPassed)},
-                         {"may_have_run", m_ran > 0},
+                         {"framing", m_answerEnding ? answerFramingName(m_answerEnding->framing) : "none"},
+                         {"connection", m_answerEnding ? connectionEndName(m_answerEnding->connection) : "none"},
+                         {"position", m_answerEnding ? positionName(*m_answerEnding) : "none"},
+                         {"events_passed", static_cast<std::int64_t>(m_eventsForwarded)},
+                         {"may_have_run", m_possibleExecutions > 0},
                          {"request", m_fingerprint ? std::string_view(request) : std::string_view()}});
     // A stream can go on only after an event that has a number.
-    const bool resumable = m_eventsPassed == 0 || m_lastEvent > 0;
-    const bool canGoOn = resumable && (!m_headPassed || m_streams || m_eventsPassed > 0);
+    const bool resumable = m_eventsForwarded == 0 || m_lastEvent > 0;
+    const bool canResume = resumable && (!m_headForwarded || m_forwardsEvents || m_eventsForwarded > 0);
     // An attempt that reached no endpoint adds nothing to its load, so it draws on no allowance.
-    if (canGoOn && mayRepeat() && (!reachedEndpoint || drawRepeat(cause))) {
-        m_drawnAt = Relay::now();
-        m_relay.counters().repeats += reachedEndpoint ? 1 : 0;
-        m_relay.counters().resumedStreams += m_eventsPassed > 0 ? 1 : 0;
+    if (canResume && mayRetry() && (!reachedEndpoint || takeRetry(cause))) {
+        m_retryGrantedAt = Relay::now();
+        m_relay.counters().retries += reachedEndpoint ? 1 : 0;
+        m_relay.counters().resumedStreams += m_eventsForwarded > 0 ? 1 : 0;
         if (!reachedEndpoint) {
-            recordRepeat(cause, RepeatOutcome::Free, {});
+            recordRetry(cause, RetryOutcome::Free, {});
         }
         attempt();
         return;
     }
-    if (m_headPassed) {
-        breakOff(cause);
+    if (m_headForwarded) {
+        abortAnswer(cause);
         return;
     }
-    if (m_ran > 0) {
+    if (m_possibleExecutions > 0) {
         refuse(ErrorKind::EndpointFailed, "the endpoint's answer was lost; the request may have run", std::nullopt);
         return;
     }
     refuse(ErrorKind::Overloaded,
            "the endpoints that were asked did not take the request",
-           m_answer.retryAfter.value_or(m_relay.options().comeBack));
+           m_answer.retryAfter.value_or(m_relay.options().defaultRetryAfter));
 }
 
 } // namespace Godwit
--- a/godwit/relay/relay_call_suspects.cpp
+++ b/godwit/relay/relay_call_suspects.cpp
@@ -11,30 +11,30 @@
 
 // The connection of the latest attempt has ended, and so may have its endpoint. What the request is believed to have
 // done decides whether it is sent again.
-void RelayCall::tryAgainOnceKnown(const std::string &cause)
+void RelayCall::retryAfterCrashCheck(const std::string &cause)
 {
-    if (!m_relay.onCut) {
-        tryAgain(cause, true);
+    if (!m_relay.onInterrupted) {
+        retryOrFail(cause, true);
         return;
     }
-    RequestCut cut{m_endpoint, m_endpointStart, {fingerprint(), m_sentAt, Relay::now()}, label()};
+    InterruptedRequest cut{m_endpoint, m_endpointStart, {fingerprint(), m_sentAt, Relay::now()}, label()};
     cut.run.trial = std::exchange(m_trial, false);
-    m_relay.onCut(cut, [self = shared_from_this(), cause] {
+    m_relay.onInterrupted(cut, [self = shared_from_this(), cause] {
         if (!self->m_closed) {
-            self->tryAgain(cause, true);
+            self->retryOrFail(cause, true);
         }
     });
 }
 
 // An endpoint that answers it whole has outlived it.
-void RelayCall::noteWholeAnswer()
+void RelayCall::reportCompleteAnswer()
 {
-    constexpr unsigned leastFailure = 500;
+    constexpr unsigned firstFailureStatus = 500;
     RelayState &state = m_relay.state();
-    if (!m_ending || m_answer.status >= leastFailure || !m_relay.onWholeAnswer) {
+    if (!m_answerEnding || m_answer.status >= firstFailureStatus || !m_relay.onCompleteAnswer) {
         return;
     }
-    const bool declared = extentOf(*m_ending) == AnswerExtent::Declared;
+    const bool declared = extentOf(*m_answerEnding) == AnswerExtent::Declared;
     if (declared) {
         noteAnswer(state.recentAnswers, fingerprint(), Relay::now());
     }
@@ -43,9 +43,9 @@
     }
     if (declared) {
         m_trial = false;
-        m_relay.onWholeAnswer(fingerprint());
+        m_relay.onCompleteAnswer(fingerprint());
     } else {
-        m_relay.onDoubtfulAnswer(fingerprint(), m_endpoint);
+        m_relay.onAnswerWithoutDeclaredEnd(fingerprint(), m_endpoint);
     }
 }
 
@@ -60,8 +60,8 @@
 
 void RelayCall::refuseSuspect()
 {
-    if (m_headPassed) {
-        breakOff("suspect_request");
+    if (m_headForwarded) {
+        abortAnswer("suspect_request");
     } else if (m_progress == Progress::Sent) {
         refuse(ErrorKind::EndpointFailed, "endpoints died each time that they ran this request", std::nullopt);
     } else {
@@ -71,32 +71,33 @@
     }
 }
 
-bool RelayCall::maySpareTrial()
+bool RelayCall::canAffordTrial()
 {
     const RelayState &state = m_relay.state();
     const auto listed = state.endpoints.byService.find(m_serviceName);
     return listed == state.endpoints.byService.end()
-        || canSpareTrial(state.suspects, fingerprint(), listed->second, m_relay.options().trialPatience, Relay::now());
+        || canSpareTrial(state.suspects, fingerprint(), listed->second, m_relay.options().trialWaitLimit, Relay::now());
 }
 
 // It may only be tried by itself, and that is not possible now.
-void RelayCall::refuseForNow()
+void RelayCall::refuseSuspectForNow()
 {
-    if (m_headPassed) {
-        breakOff("suspect_waits");
+    if (m_headForwarded) {
+        abortAnswer("suspect_waits");
     } else if (m_progress == Progress::Sent) {
         refuse(ErrorKind::EndpointFailed, "endpoints died under this request", std::nullopt);
     } else {
-        refuse(ErrorKind::Overloaded, "endpoints died under this request; it is tried by itself", comeBackByLot());
+        refuse(
+            ErrorKind::Overloaded, "endpoints died under this request; it is tried by itself", randomizedRetryAfter());
     }
 }
 
-void RelayCall::askForTrial(const Choice &choice)
+void RelayCall::requestTrial(const Choice &choice)
 {
     const EndpointId endpoint = choice.endpoint->listed.id;
     const EndpointStart start = choice.endpoint->listed.startedAt;
-    const auto onAnswer = [self = shared_from_this(), wished = choice, endpoint, start](bool granted) {
-        Choice chosen = wished;
+    const auto onDecision = [self = shared_from_this(), requestedChoice = choice, endpoint, start](bool granted) {
+        Choice chosen = requestedChoice;
         chosen.endpoint = findStart(self->m_relay.state().endpoints, endpoint, start);
         const bool gone = chosen.endpoint == nullptr || !takesNewWork(*chosen.endpoint);
         if (granted && (gone || self->m_closed)) {
@@ -106,13 +107,13 @@
             return;
         }
         if (!granted || gone) {
-            self->refuseForNow();
+            self->refuseSuspectForNow();
             return;
         }
         self->m_trial = true;
-        self->begin(chosen);
+        self->startAttempt(chosen);
     };
-    m_relay.onTrialWanted({fingerprint(), endpoint, label()}, onAnswer);
+    m_relay.onTrialRequested({fingerprint(), endpoint, label()}, onDecision);
 }
 
 // A trial that has ended without a death or a whole answer.
--- a/godwit/relay/relay_call_tokens.cpp
+++ b/godwit/relay/relay_call_tokens.cpp
@@ -17,15 +17,15 @@
         return;
     }
     if (m_worstCase == 0 || reserve(m_relay.state().prepaid, m_customer, m_worstCase)) {
-        m_holdsTokens = m_worstCase > 0;
+        m_hasReservation = m_worstCase > 0;
         logReservation();
         attempt();
         return;
     }
-    m_waitsForTokens = true;
-    m_patience.expires_after(std::min({m_relay.options().budgetPatience, m_route->latencyTarget / 8, timeLeft()}));
-    m_patience.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
-        if (error || self->m_closed || !self->m_waitsForTokens) {
+    m_waitingForTokens = true;
+    m_budgetTimer.expires_after(std::min({m_relay.options().budgetWaitLimit, m_route->latencyTarget / 8, timeLeft()}));
+    m_budgetTimer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
+        if (error || self->m_closed || !self->m_waitingForTokens) {
             return;
         }
         self->refuseForBudget("this router does not hold enough of the budget now");
@@ -40,29 +40,29 @@
     if (share.takenOver && mayRemain(share, m_customer) < m_worstCase) {
         refuse(ErrorKind::BudgetExhausted, "the customer's budget does not cover this request at its most", {});
     } else {
-        refuse(ErrorKind::BudgetBusy, message, tokensBack());
+        refuse(ErrorKind::BudgetBusy, message, tokenRetryAfter());
     }
 }
 
 // When the caller should come back for tokens: once they grow again, and not all callers at that moment.
-Duration RelayCall::tokensBack() const
+Duration RelayCall::tokenRetryAfter() const
 {
-    const Duration grows = untilTokensGrow(m_relay.state().prepaid, m_customer, Relay::now());
-    return grows == Duration::zero() ? m_relay.options().comeBack : grows + comeBackByLot();
+    const Duration untilGrowth = untilTokensGrow(m_relay.state().prepaid, m_customer, Relay::now());
+    return untilGrowth == Duration::zero() ? m_relay.options().defaultRetryAfter : untilGrowth + randomizedRetryAfter();
 }
 
-bool RelayCall::takeTokens()
+bool RelayCall::tryReserve()
 {
-    if (m_closed || !m_waitsForTokens) {
+    if (m_closed || !m_waitingForTokens) {
         return true;
     }
     if (!reserve(m_relay.state().prepaid, m_customer, m_worstCase)) {
         return false;
     }
-    m_waitsForTokens = false;
-    m_holdsTokens = true;
+    m_waitingForTokens = false;
+    m_hasReservation = true;
     logReservation();
-    m_patience.cancel();
+    m_budgetTimer.cancel();
     attempt();
     return true;
 }
@@ -71,7 +71,7 @@
 void RelayCall::logReservation() const
 {
     const PrepaidShare &share = m_relay.state().prepaid;
-    if (!m_holdsTokens || !isNearEnd(share, m_customer)) {
+    if (!m_hasReservation || !isNearEnd(share, m_customer)) {
         return;
     }
     m_relay.log().write("reserved_near_end",
@@ -101,8 +101,8 @@
     usage.promptTokens = m_facts.promptTokens;
     usage.maxOutputTokens = m_facts.maxOutputTokens;
     usage.tokensPerEvent = m_service != nullptr && m_service->engine ? m_service->engine->tokensPerEvent : 1;
-    usage.eventsPassed = m_eventsPassed;
-    usage.mayHaveBegun = m_mayHaveBegun;
+    usage.eventsPassed = m_eventsForwarded;
+    usage.mayHaveBegun = m_mayHaveProducedOutput;
     return chargeOf(usage);
 }
 
@@ -110,7 +110,7 @@
 {
     const Tokens charge = usedTokens();
     settle(m_relay.state().prepaid, m_customer, m_worstCase, charge);
-    recordCharge(m_relay.counters().calls, {m_customer, m_route->kind, m_end, m_eventsPassed > 0, charge});
+    recordCharge(m_relay.counters().calls, {m_customer, m_route->kind, m_end, m_eventsForwarded > 0, charge});
     if (m_end == CallEnd::Answered || charge == 0) {
         return;
     }
@@ -120,7 +120,7 @@
                          {"end", callEndName(m_end)},
                          {"tokens", charge},
                          {"reserved", m_worstCase},
-                         {"events_passed", static_cast<std::int64_t>(m_eventsPassed)},
+                         {"events_passed", static_cast<std::int64_t>(m_eventsForwarded)},
                          {"since_sent_ms", toMilliseconds(Relay::now() - m_sentAt)}});
 }
 
--- a/godwit/relay/send_record.cpp
+++ b/godwit/relay/send_record.cpp
@@ -17,11 +17,11 @@
 void recordSend(Relay &relay, const SendRecord &send)
 {
     SendCounters &counters = relay.counters().sends;
-    const Duration sinceDraw = send.sinceDraw.value_or(Duration::zero());
-    counters.late += sinceDraw > relay.options().limitShares.lateness ? 1 : 0;
-    counters.stale += send.sinceReckoned > StaleTimeLeft ? 1 : 0;
-    counters.beyondAttempts += send.ran >= send.maxEndpoints ? 1 : 0;
-    counters.underSuspicion += send.deaths > 0 ? 1 : 0;
+    const Duration sinceRetryGranted = send.sinceRetryGranted.value_or(Duration::zero());
+    counters.lateRetries += sinceRetryGranted > relay.options().limitShares.lateness ? 1 : 0;
+    counters.staleTimeLeft += send.timeLeftAge > MaxTimeLeftAge ? 1 : 0;
+    counters.beyondMaxEndpoints += send.possibleExecutions >= send.maxEndpoints ? 1 : 0;
+    counters.ofSuspects += send.deaths > 0 ? 1 : 0;
     if (send.sends == 1 && send.deaths == 0) {
         return;
     }
@@ -31,11 +31,11 @@
                        {"service", std::string_view(send.service)},
                        {"endpoint", std::string_view(send.endpoint)},
                        {"sends", static_cast<std::int64_t>(send.sends)},
-                       {"ran", static_cast<std::int64_t>(send.ran)},
+                       {"ran", static_cast<std::int64_t>(send.possibleExecutions)},
                        {"max_endpoints", static_cast<std::int64_t>(send.maxEndpoints)},
-                       {"since_draw_ms", milliseconds(sinceDraw)},
+                       {"since_draw_ms", milliseconds(sinceRetryGranted)},
                        {"time_left_ms", milliseconds(send.timeLeft)},
-                       {"since_reckoned_ms", milliseconds(send.sinceReckoned)},
+                       {"since_reckoned_ms", milliseconds(send.timeLeftAge)},
                        {"since_arrival_ms", milliseconds(send.sinceArrival)},
                        {"request", send.fingerprint != 0 ? std::string_view(request) : std::string_view()},
                        {"deaths", static_cast<std::int64_t>(send.deaths)},
--- a/godwit/relay/entry_server.cpp
+++ b/godwit/relay/simple_http_server.cpp
@@ -1,4 +1,4 @@
-#include "godwit/relay/entry_server.h"
+#include "godwit/relay/simple_http_server.h"
 
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
@@ -12,16 +12,16 @@
 namespace http = beast::http;
 
 // Askers connect, ask and leave, or ask again within seconds.
-constexpr auto IdleLimit = std::chrono::seconds(10);
+constexpr auto IdleTimeout = std::chrono::seconds(10);
 constexpr std::uint32_t MaxHeadBytes = 8U * 1024;
 constexpr std::uint64_t MaxBodyBytes = 4096;
 
-class EntryConnection : public std::enable_shared_from_this<EntryConnection>
+class SimpleHttpConnection : public std::enable_shared_from_this<SimpleHttpConnection>
 {
 public:
-    EntryConnection(Listener::Socket socket, const EntryServer::Answer &answer)
+    SimpleHttpConnection(Listener::Socket socket, const SimpleHttpServer::Handler &handler)
         : m_stream(std::move(socket))
-        , m_answer(answer)
+        , m_handler(handler)
     {
     }
 
@@ -30,7 +30,7 @@
         m_parser.emplace();
         m_parser->header_limit(MaxHeadBytes);
         m_parser->body_limit(MaxBodyBytes);
-        m_stream.expires_after(IdleLimit);
+        m_stream.expires_after(IdleTimeout);
         http::async_read(
             m_stream, m_buffer, *m_parser, [self = shared_from_this()](beast::error_code error, std::size_t) {
                 if (!error) {
@@ -43,7 +43,8 @@
     void reply()
     {
         const auto &request = m_parser->get();
-        const EntryAnswer answer = m_answer(std::string(request.method_string()), std::string(request.target()));
+        const SimpleHttpResponse answer =
+            m_handler(std::string(request.method_string()), std::string(request.target()));
         m_response = {};
         m_response.version(11);
         m_response.result(answer.status);
@@ -59,7 +60,7 @@
     }
 
     beast::tcp_stream m_stream;
-    const EntryServer::Answer &m_answer;
+    const SimpleHttpServer::Handler &m_handler;
     beast::flat_buffer m_buffer;
     std::optional<http::request_parser<http::string_body>> m_parser;
     http::response<http::string_body> m_response;
@@ -67,26 +68,26 @@
 
 } // namespace
 
-EntryServer::EntryServer(boost::asio::io_context &io, Answer answer)
+SimpleHttpServer::SimpleHttpServer(boost::asio::io_context &io, Handler handler)
     : m_io(io)
-    , m_answer(std::move(answer))
+    , m_handler(std::move(handler))
 {
 }
 
-bool EntryServer::listen(const std::string &address, LastReason &reason)
+bool SimpleHttpServer::listen(const std::string &address, LastReason &reason)
 {
     auto listener = std::make_unique<Listener>(m_io);
     const bool opened = listener->open(
         address,
         [this](Listener::Socket socket) {
-            std::make_shared<EntryConnection>(std::move(socket), m_answer)->read();
+            std::make_shared<SimpleHttpConnection>(std::move(socket), m_handler)->read();
         },
         reason);
     m_listeners.push_back(std::move(listener));
     return opened;
 }
 
-void EntryServer::close()
+void SimpleHttpServer::close()
 {
     for (const auto &listener : m_listeners) {
         listener->close();
--- a/godwit/relay/entry_server.h
+++ b/godwit/relay/simple_http_server.h
@@ -17,19 +17,19 @@
 namespace Godwit
 {
 
-struct EntryAnswer
+struct SimpleHttpResponse
 {
     unsigned status = 404;
     std::string body;
     std::string contentType = "application/json";
 };
 
-class EntryServer
+class SimpleHttpServer
 {
 public:
-    using Answer = std::function<EntryAnswer(const std::string &method, const std::string &target)>;
+    using Handler = std::function<SimpleHttpResponse(const std::string &method, const std::string &target)>;
 
-    EntryServer(boost::asio::io_context &io, Answer answer);
+    SimpleHttpServer(boost::asio::io_context &io, Handler handler);
 
     // Several addresses may be served.
     bool listen(const std::string &address, LastReason &reason);
@@ -37,7 +37,7 @@
 
 private:
     boost::asio::io_context &m_io;
-    Answer m_answer;
+    Handler m_handler;
     std::vector<std::unique_ptr<Listener>> m_listeners;
 };
 
