--- a/godwit/relay/caller_connection.h
+++ b/godwit/relay/caller_connection.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// One connection of a caller: reads its requests one after the other, and writes the answers.
+// Server side of one caller connection: reads requests one after the other and writes the responses.
 //
-// While a request is under way the connection watches for the caller's leaving, so that the endpoint's work can be
-// stopped. Not thread-safe.
+// While a request is in flight the connection watches for the caller disconnecting, so that the endpoint's work can be
+// cancelled. Not thread-safe.
 
 #include "godwit/relay/relay.h"
 #include "godwit/relay/relay_call.h"
@@ -24,7 +24,7 @@
 
 class CallerConnection;
 
-// The open connections of a router, for its stop.
+// All open caller connections of a router; used to close them at shutdown.
 struct CallerConnections
 {
     std::set<CallerConnection *> open;
@@ -33,40 +33,40 @@
 class CallerConnection : public AnswerSink, public std::enable_shared_from_this<CallerConnection>
 {
 public:
-    CallerConnection(Relay &relay, CallerConnections &all, boost::asio::ip::tcp::socket socket);
+    CallerConnection(Relay &relay, CallerConnections &connections, boost::asio::ip::tcp::socket socket);
     ~CallerConnection() override;
 
     void start();
 
-    // Closes the connection if no request is under way on it.
+    // Starts a graceful close if no request is in flight or has arrived on the connection.
     void closeIfIdle();
 
     void send(std::string bytes) override;
     std::size_t queuedBytes() const override;
     void finish() override;
-    void breakOff() override;
+    void abort() override;
     bool beginAnswer(ResponseFraming framing) override;
 
 private:
     using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
     void readRequest();
-    void armReadLimit();
-    bool limitHasPassed() const;
+    void armReadTimeout();
+    bool timerHasExpired() const;
     void readHead();
     void readBody();
-    void onUnreadable(const boost::system::error_code &error);
+    void onMalformedRequest(const boost::system::error_code &error);
     void startCall();
-    void watchCaller();
+    void watchForDisconnect();
     void write();
     void onWritten(const boost::system::error_code &error);
-    void resetOnClose(bool wanted);
-    void closeInOrder();
+    void setResetOnClose(bool wanted);
+    void closeGracefully();
     void drainUntilClosed();
     void close();
 
     Relay &m_relay;
-    CallerConnections &m_all;
+    CallerConnections &m_connections;
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
     boost::beast::flat_buffer m_buffer;
@@ -74,13 +74,13 @@
     std::shared_ptr<RelayCall> m_call;
     std::string m_writing;
     std::string m_queued;
-    bool m_writeOpen = false;
+    bool m_writePending = false;
     bool m_answerDone = false;
     bool m_keepAlive = true;
-    bool m_saidClose = false; // An answer's head has said that the connection closes after it.
-    bool m_readOpen = false; // A request is being read, or waited for.
-    bool m_beganReading = false;
-    bool m_closing = false; // Nothing more is sent; the caller's end is waited for.
+    bool m_closeAfterAnswer = false; // The current response was sent with "Connection: close".
+    bool m_awaitingRequest = false; // Waiting for a request or reading one.
+    bool m_receivingRequest = false; // The socket became readable; reading of the head has begun.
+    bool m_closing = false; // The sending direction is shut down; waiting for the caller to close.
     bool m_closed = false;
 };
 
--- a/godwit/relay/caller_connection_test.cpp
+++ b/godwit/relay/caller_connection_test.cpp
@@ -16,10 +16,10 @@
 namespace
 {
 
-// A router without a document, and a caller that is connected to it.
-struct Connected
+// A router without a configuration document, and a caller connected to it.
+struct RouterWithCaller
 {
-    Connected()
+    RouterWithCaller()
         : log(io, {})
         , relay(io, {}, log)
         , caller(io)
@@ -38,7 +38,7 @@
         io.run_for(time);
     }
 
-    void ask(const std::string &connectionHeader)
+    void sendGet(const std::string &connectionHeader)
     {
         boost::asio::write(caller,
                            boost::asio::buffer("GET / HTTP/1.1\r\nHost: a\r\n" + std::string(AttemptIdField)
@@ -52,7 +52,7 @@
         return std::string(bytes.data(), caller.read_some(boost::asio::buffer(bytes), error));
     }
 
-    // Whether the router has closed its socket: bytes sent to it are answered with a reset, which the next ones meet.
+    // Whether the router has closed its socket: it answers the first byte with a reset, so that the second write fails.
     bool isClosed()
     {
         boost::system::error_code error;
@@ -70,7 +70,7 @@
     std::shared_ptr<CallerConnection> connection;
 };
 
-// One route, for all that Connected asks, to a service without endpoints.
+// One route that matches every request of RouterWithCaller, to a service without endpoints.
 SiteDocument documentWithRoute()
 {
     GatewayRoute route;
@@ -86,14 +86,15 @@
 
 } // namespace
 
-TEST_CASE("a connection that is being closed in order is not cut by the next look for idle ones")
+TEST_CASE("a graceful close is not interrupted by the next scan for idle connections")
 {
-    // A router that stops looks for idle connections each 100 ms. The second look cancelled the read that waits for the
-    // caller's end, and its end by that was taken for the caller's: the socket was closed under an answer on its way.
-    Connected router;
-    SECTION("closed after an answer")
+    // A stopping router scans for idle connections every 100 ms. The second scan cancelled the read that waits for the
+    // caller to close; the cancellation was taken for a disconnect, and the socket was closed with a response in
+    // transit.
+    RouterWithCaller router;
+    SECTION("closed after a response")
     {
-        router.ask("close");
+        router.sendGet("close");
         router.run(std::chrono::milliseconds(20));
         REQUIRE(router.received().find("HTTP/1.1 503") == 0);
     }
@@ -107,75 +108,74 @@
     CHECK_FALSE(router.isClosed());
 }
 
-TEST_CASE("a host that is behind says nothing out of a document that may be old")
+TEST_CASE("a router with a congested link makes no final decision from a possibly stale document")
 {
-    // The caller hears that its route does not exist, on one host of many. That host's link is choked: it refuses all
-    // that it is asked, and the document that has the route waits behind these requests for seconds. The line was
-    // "event":"refused","cause":"unknown_route" with a document 14 s old.
-    Connected router;
+    // On a host with a congested link the update that adds a route queues behind requests for seconds, and the router
+    // answered 404 for that route. The log line was "event":"refused","cause":"unknown_route" with a document 14 s old.
+    RouterWithCaller router;
     RelayState &state = router.relay.state();
     state.routes = makeRouteTable({});
     state.stage = RelayStage::Serving;
-    SECTION("while its link is choked")
+    SECTION("while its link is congested")
     {
-        state.behindAt = Relay::now();
+        state.congestedAt = Relay::now();
     }
-    SECTION("until its copy of the document is new, though its list of endpoints is")
+    SECTION("until its document is refreshed, even if its endpoint list already is")
     {
-        state.behindAt = Relay::now() - std::chrono::seconds(3);
+        state.congestedAt = Relay::now() - std::chrono::seconds(3);
         state.endpointsAsOf = Relay::now();
     }
-    router.ask("keep-alive");
+    router.sendGet("keep-alive");
     router.run(std::chrono::milliseconds(20));
     CHECK(router.received().find("HTTP/1.1 429") == 0);
 }
 
-TEST_CASE("a host whose document is older than its peers' says nothing out of it")
+TEST_CASE("a router whose document is older than its peers' makes no final decision from it")
 {
-    // A large document took seconds over a busy link on which small messages came at once, so that the host did not
-    // count as behind. It answered 404 for a route that had been added seconds ago.
-    Connected router;
+    // A large document took seconds over a busy link on which small messages arrived at once, so that congestion was
+    // not detected. The router answered 404 for a route that had been added seconds before.
+    RouterWithCaller router;
     RelayState &state = router.relay.state();
     state.routes = makeRouteTable({});
     state.stage = RelayStage::Serving;
     const TimePoint now = Relay::now();
     const std::string refused = "HTTP/1.1 429";
     const std::string unknownRoute = "HTTP/1.1 404";
-    SECTION("a peer has held a newer one for two seconds")
+    SECTION("a peer has had a newer document for two seconds")
     {
         recordPeerState(state.documentAgreement, now, std::chrono::seconds(2), now);
-        router.ask("keep-alive");
+        router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(refused) == 0);
     }
-    SECTION("a peer has held a newer list of endpoints")
+    SECTION("a peer has had a newer endpoint list for two seconds")
     {
         recordPeerState(state.endpointsAgreement, now, std::chrono::seconds(2), now);
-        router.ask("keep-alive");
+        router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(refused) == 0);
     }
-    SECTION("no peer has answered for long: the host is cut off, and serves what it can")
+    SECTION("no recent reply from a peer: the router is partitioned and serves what it can")
     {
         recordPeerState(state.documentAgreement, now, std::chrono::seconds(2), now - std::chrono::seconds(3));
         state.routes = makeRouteTable(documentWithRoute());
-        router.ask("keep-alive");
+        router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find("no endpoint of the service") != std::string::npos);
     }
-    SECTION("the peers hold nothing newer")
+    SECTION("the peers have nothing newer")
     {
         recordPeerState(state.documentAgreement, now, Duration::zero(), now);
-        router.ask("keep-alive");
+        router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(unknownRoute) == 0);
     }
 }
 
-TEST_CASE("a host that can't tell whether its document is current denies nothing for good")
+TEST_CASE("a router that can't confirm its document as current sends no final 404 or 401")
 {
-    // Guards against 404 or 401 from a host that has heard nothing for seconds, for what was added meanwhile.
-    Connected router;
+    // Guards against 404 or 401 for a recently added route or key from a router that got no updates for seconds.
+    RouterWithCaller router;
     RelayState &state = router.relay.state();
     state.stage = RelayStage::Serving;
     const TimePoint now = Relay::now();
@@ -191,51 +191,51 @@
     state.routes = makeRouteTable(document);
     CopyFreshness &agreement = state.documentAgreement;
     std::string expected = "HTTP/1.1 503";
-    SECTION("it has heard nothing")
+    SECTION("no confirmation was received")
     {
     }
-    SECTION("what it heard is old")
+    SECTION("all confirmations are old")
     {
         recordFullRead(agreement, longAgo);
         recordPeerState(agreement, longAgo, Duration::zero(), longAgo);
         recordMatchingPeerRead(agreement, longAgo);
     }
-    SECTION("it has read the store itself")
+    SECTION("the router has read the store itself")
     {
         recordFullRead(agreement, now - std::chrono::seconds(1));
         expected = denied;
     }
-    SECTION("a peer holds nothing newer")
+    SECTION("a peer has nothing newer")
     {
         recordPeerState(agreement, now, Duration::zero(), now);
         expected = denied;
     }
-    SECTION("another router has read the store and found no more")
+    SECTION("another router has read the store and found nothing newer")
     {
         recordMatchingPeerRead(agreement, now);
         expected = denied;
     }
-    router.ask("keep-alive");
+    router.sendGet("keep-alive");
     router.run(std::chrono::milliseconds(20));
     CHECK(router.received().find(expected) == 0);
 }
 
-TEST_CASE("a request that has arrived is answered before its connection counts as idle")
+TEST_CASE("a connection with an unread request is not closed as idle")
 {
-    // The loop was busy while the request came, so that nobody had begun to read it. The connection was closed as idle
-    // and the request read and dropped: its caller heard nothing and may not repeat it.
-    Connected router;
-    router.ask("keep-alive");
+    // The event loop was busy when the request arrived, so it had not been read yet. The connection was closed as idle
+    // and the request discarded, leaving the caller without a response to a request that it may not retry.
+    RouterWithCaller router;
+    router.sendGet("keep-alive");
     router.connection->closeIfIdle();
     router.run(std::chrono::milliseconds(20));
     CHECK(router.received().find("HTTP/1.1 503") == 0);
 }
 
-TEST_CASE("a request is not sent to an endpoint that leaves while the connection to it is made")
+TEST_CASE("a request is not sent to an endpoint that starts draining during connect")
 {
-    // A busy router took up the new connection after it had read that the endpoint leaves, and sent the request all the
-    // same.
-    Connected router;
+    // A busy router handled the established connection after it had learned that the endpoint was draining, and still
+    // sent the request.
+    RouterWithCaller router;
     tcp::acceptor endpoint(router.io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
     endpoint.non_blocking(true);
     ListedEndpoint listed{EndpointId{"e"}, "s", formatAddress(endpoint.local_endpoint())};
@@ -248,17 +248,17 @@
     state.routes = makeRouteTable(document);
     state.stage = RelayStage::Serving;
     replaceEndpoints(state.endpoints, {listed});
-    router.ask("keep-alive");
+    router.sendGet("keep-alive");
     router.io.restart();
     while (router.relay.counters().attempts == 0) {
         REQUIRE(router.io.run_one_for(std::chrono::seconds(1)) == 1);
     }
-    SECTION("it says so")
+    SECTION("its entry is marked as leaving")
     {
         listed.draining = true;
         replaceEndpoints(state.endpoints, {listed});
     }
-    SECTION("its entry goes")
+    SECTION("its entry is removed")
     {
         replaceEndpoints(state.endpoints, {});
     }
@@ -276,10 +276,10 @@
 namespace
 {
 
-// A router whose one customer has asked its one engine for a stream, and the engine's side of that request.
-struct StreamAsked : Connected
+// A router with one customer and one engine, a streaming request in flight, and the engine's end of it.
+struct RouterWithStream : RouterWithCaller
 {
-    explicit StreamAsked(const std::string &millisecondsLeft = "9000", bool resumable = false)
+    explicit RouterWithStream(const std::string &millisecondsLeft = "9000", bool resumable = false)
         : acceptor(io, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0))
         , engine(io)
     {
@@ -313,7 +313,7 @@
         runUntil([this] {
             return engine.available() > 0;
         });
-        // Closing a socket with unread bytes would reset it.
+        // Closing a socket with unread bytes would send a reset.
         std::array<char, 4096> request{};
         engine.read_some(boost::asio::buffer(request));
     }
@@ -327,11 +327,11 @@
         }
     }
 
-    void leave()
+    void disconnectCaller()
     {
         caller.close();
         runUntil([this] {
-            return relay.counters().callersLeft > 0;
+            return relay.counters().callerDisconnects > 0;
         });
     }
 
@@ -343,7 +343,7 @@
         CHECK(account().reserved == 0);
     }
 
-    // Seven bytes.
+    // `event` must be seven bytes long: the chunk size is fixed.
     void sendEvent(const std::string &event = "id: 1\n\n")
     {
         boost::asio::write(engine,
@@ -365,17 +365,17 @@
 
 } // namespace
 
-TEST_CASE("each wish to repeat is counted with its outcome, and a stream that can't go on draws no repeat")
+TEST_CASE("retry decisions are counted by outcome, and a stream that can't be resumed takes no retry")
 {
-    // Guards against an allowance that is used up by repeats that are never sent.
-    StreamAsked router("9000", true);
-    router.relay.setRepeatRules(0, 0, std::chrono::seconds(10));
-    const auto draws = [&router](RepeatOutcome outcome) {
-        return router.relay.counters().repeatDraws[{"s", "connection_broken", outcome}];
+    // Guards against a retry allowance consumed by retries that are never sent.
+    RouterWithStream router("9000", true);
+    router.relay.setRetryRules(0, 0, std::chrono::seconds(10));
+    const auto draws = [&router](RetryOutcome outcome) {
+        return router.relay.counters().retryDecisions[{"s", "connection_broken", outcome}];
     };
-    bool goesOn = true;
+    bool canResume = true;
     bool allowed = false;
-    SECTION("the allowance is used up")
+    SECTION("the allowance is exhausted")
     {
     }
     SECTION("the allowance has room")
@@ -384,41 +384,41 @@
     }
     SECTION("the last event has no number")
     {
-        goesOn = false;
+        canResume = false;
         allowed = true;
     }
     if (allowed) {
-        router.relay.setRepeatRules(10, 0, std::chrono::seconds(10));
+        router.relay.setRetryRules(10, 0, std::chrono::seconds(10));
     }
-    router.sendEvent(goesOn ? "id: 1\n\n" : "data:\n\n");
+    router.sendEvent(canResume ? "id: 1\n\n" : "data:\n\n");
     router.runUntil([&router] {
         return router.caller.available() > 0;
     });
     router.engine.set_option(boost::asio::socket_base::linger(true, 0));
     router.engine.close();
     router.runUntil([&router] {
-        return router.relay.counters().brokenOff > 0;
+        return router.relay.counters().truncatedAnswers > 0;
     });
-    CHECK(router.relay.counters().brokenOff == 1);
-    CHECK(draws(RepeatOutcome::Taken) == (goesOn && allowed ? 1 : 0));
-    CHECK(draws(RepeatOutcome::Denied) == (goesOn && !allowed ? 1 : 0));
+    CHECK(router.relay.counters().truncatedAnswers == 1);
+    CHECK(draws(RetryOutcome::Taken) == (canResume && allowed ? 1 : 0));
+    CHECK(draws(RetryOutcome::Denied) == (canResume && !allowed ? 1 : 0));
 }
 
-TEST_CASE("a call given up before its engine made an event costs its customer nothing")
+TEST_CASE("a call whose caller disconnects before the engine produced an event is not charged")
 {
-    // Guards against budgets used up by callers that left, or ran out of time, behind busy engines.
-    StreamAsked router;
+    // Guards against budgets consumed by calls that were abandoned while queued at busy engines.
+    RouterWithStream router;
     REQUIRE(router.account().reserved == 720);
-    router.leave();
+    router.disconnectCaller();
     router.engine.close();
     router.runUntilSettled();
     CHECK(router.account().netUsed == 0);
 }
 
-TEST_CASE("a call whose time is over before its engine made an event costs its customer nothing")
+TEST_CASE("a call whose deadline passes before the engine produced an event is not charged")
 {
-    // Guards against budgets used up by calls that waited for nothing.
-    StreamAsked router("400");
+    // Guards against budgets consumed by calls that got nothing.
+    RouterWithStream router("400");
     router.runUntil([&] {
         return router.relay.counters().refusals[ErrorKind::AnswerLate] > 0;
     });
@@ -427,14 +427,14 @@
     CHECK(router.account().netUsed == 0);
 }
 
-TEST_CASE("a call whose engine ends its connection without an event is charged its prompt")
+TEST_CASE("a call whose engine closes the connection without an event is charged for its prompt")
 {
-    // Guards against spending beyond a budget: an engine that has run a request may lose its answer.
-    StreamAsked router;
-    SECTION("in order")
+    // Guards against overspending: an engine may have run the request and lost its response.
+    RouterWithStream router;
+    SECTION("orderly close")
     {
     }
-    SECTION("by a reset")
+    SECTION("reset")
     {
         router.engine.set_option(boost::asio::socket_base::linger(true, 0));
     }
@@ -443,17 +443,17 @@
     CHECK(router.account().netUsed == 700);
 }
 
-TEST_CASE("a call whose engine may have made an event is charged its prompt though the caller left")
+TEST_CASE("an abandoned call whose engine may have produced an event is charged for its prompt")
 {
-    // Guards against spending beyond a budget: the event was on its way when the caller left.
-    StreamAsked router;
-    router.leave();
+    // Guards against overspending: the event may have been in transit when the caller disconnected.
+    RouterWithStream router;
+    router.disconnectCaller();
     CHECK(router.account().reserved == 720);
-    SECTION("an event comes after the caller has left")
+    SECTION("an event arrives after the caller has disconnected")
     {
         router.sendEvent();
     }
-    SECTION("the engine breaks the connection")
+    SECTION("the engine resets the connection")
     {
         router.engine.set_option(boost::asio::socket_base::linger(true, 0));
         router.engine.close();
--- a/godwit/relay/listener.cpp
+++ b/godwit/relay/listener.cpp
@@ -12,16 +12,17 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Bursts of new connections wait here instead of being dropped and sent again a second later.
+// Large enough for bursts of new connections: when the accept queue overflows, the kernel drops the SYN and the caller
+// retransmits it only after a second.
 constexpr int Backlog = 1024;
-// After an error such as too few descriptors; at once would spin.
-constexpr auto AcceptPause = std::chrono::milliseconds(20);
+// Delay after an error such as too many open files; an immediate retry would spin.
+constexpr auto AcceptRetryDelay = std::chrono::milliseconds(20);
 
 } // namespace
 
 Listener::Listener(boost::asio::io_context &io)
     : m_acceptor(io)
-    , m_pause(io)
+    , m_pauseTimer(io)
 {
 }
 
@@ -58,7 +59,7 @@
                        {}};
         return false;
     }
-    // Port 0 takes a free one, which is kept through pauses.
+    // A port that the system assigned for port 0 is kept across pauses.
     m_endpoint = m_acceptor.local_endpoint(error);
     return true;
 }
@@ -68,7 +69,7 @@
     if (!m_acceptor.is_open()) {
         return;
     }
-    takeWaiting();
+    acceptPending();
     error_code ignored;
     m_acceptor.close(ignored);
     acceptAfter(time);
@@ -79,7 +80,7 @@
     m_closed = true;
     error_code ignored;
     m_acceptor.close(ignored);
-    m_pause.cancel();
+    m_pauseTimer.cancel();
 }
 
 LastReason Listener::takeFailure()
@@ -95,7 +96,7 @@
 void Listener::accept()
 {
     m_acceptor.async_accept([this](const error_code &error, Socket socket) {
-        // One that was accepted just before a pause is taken as well.
+        // A connection accepted just before a pause is still handled.
         if (!error && !m_closed) {
             m_onConnection(std::move(socket));
         }
@@ -103,14 +104,14 @@
             return;
         }
         if (error) {
-            acceptAfter(AcceptPause);
+            acceptAfter(AcceptRetryDelay);
             return;
         }
         accept();
     });
 }
 
-void Listener::takeWaiting()
+void Listener::acceptPending()
 {
     error_code error;
     m_acceptor.non_blocking(true, error);
@@ -124,8 +125,8 @@
 
 void Listener::acceptAfter(Duration time)
 {
-    m_pause.expires_after(time);
-    m_pause.async_wait([this](const error_code &cancelled) {
+    m_pauseTimer.expires_after(time);
+    m_pauseTimer.async_wait([this](const error_code &cancelled) {
         if (!cancelled) {
             resume();
         }
@@ -137,7 +138,7 @@
     if (!m_acceptor.is_open() && !listen(m_failure)) {
         error_code ignored;
         m_acceptor.close(ignored);
-        acceptAfter(AcceptPause);
+        acceptAfter(AcceptRetryDelay);
         return;
     }
     accept();
--- a/godwit/relay/relay_call.cpp
+++ b/godwit/relay/relay_call.cpp
@@ -11,11 +11,12 @@
 namespace
 {
 
-// A request that declares no token counts can't be charged by tokens.
+// Cost of a request that declares no token counts and so can't be charged.
 constexpr Tokens NoTokens = 0;
 constexpr int LeastUrgent = 9;
 
-// What requests share, so that they meet where it is cached: the last part of the prompt but the request's own.
+// Key for cache affinity: the last part of the prompt that other requests may share, which is the one before the
+// request's own.
 std::string_view sharedPart(const RequestMetadata &facts)
 {
     const auto &parts = facts.promptSegments;
@@ -25,7 +26,7 @@
     return parts[parts.size() < 2 ? 0 : parts.size() - 2].id;
 }
 
-// How much of the prompt lies up to the end of that part.
+// Length of the shareable prefix: all parts of the prompt except the request's own.
 Tokens sharedTokens(const RequestMetadata &facts)
 {
     const auto &parts = facts.promptSegments;
@@ -44,8 +45,8 @@
     , m_head(std::move(head))
     , m_body(std::move(body))
     , m_arrived(Relay::now())
-    , m_timer(relay.io())
-    , m_patience(relay.io())
+    , m_deadlineTimer(relay.io())
+    , m_budgetTimer(relay.io())
 {
     ++m_relay.callsOpen;
     ++m_relay.counters().requests;
@@ -60,9 +61,9 @@
         return;
     }
     m_facts = *facts;
-    // Before the route: what the document of a host that is behind doesn't have may have been added seconds ago.
-    if (m_relay.isBehind(m_arrived)) {
-        refuse(ErrorKind::Overloaded, "this router is behind the others", comeBackByLot());
+    // Checked before the route lookup: a route missing from a stale document may have been added seconds ago.
+    if (m_relay.mayBeStale(m_arrived)) {
+        refuse(ErrorKind::Overloaded, "this router's configuration may be out of date", randomizedRetryAfter());
         return;
     }
     if (!findRoute() || !findCustomer()) {
@@ -72,10 +73,10 @@
         refuseSuspect();
         return;
     }
-    const Duration callerPatience = m_facts.timeLeft.value_or(m_route->timeout);
-    m_deadline = m_arrived + std::min(m_route->timeout, callerPatience - m_relay.options().answerMargin);
-    m_timer.expires_at(m_deadline);
-    m_timer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
+    const Duration callerTimeLeft = m_facts.timeLeft.value_or(m_route->timeout);
+    m_deadline = m_arrived + std::min(m_route->timeout, callerTimeLeft - m_relay.options().answerMargin);
+    m_deadlineTimer.expires_at(m_deadline);
+    m_deadlineTimer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
         if (!error) {
             self->onDeadline();
         }
@@ -87,7 +88,9 @@
 {
     m_table = m_relay.state().routes;
     if (!m_table) {
-        refuse(ErrorKind::NotConfigured, "this router has read no configuration yet", m_relay.options().comeBack);
+        refuse(ErrorKind::NotConfigured,
+               "this router has not loaded a configuration yet",
+               m_relay.options().defaultRetryAfter);
         return false;
     }
     if (m_relay.state().stage == RelayStage::Stopping) {
@@ -96,24 +99,24 @@
     }
     m_route = Godwit::findRoute(*m_table, m_facts.host, m_facts.target);
     if (m_route == nullptr) {
-        refuseUnknown(ErrorKind::UnknownRoute, "no route begins this path at this host");
+        refuseUnknown(ErrorKind::UnknownRoute, "no route matches this host and path");
         return false;
     }
     m_serviceName = pickService(*m_route, stableHash(m_facts.attemptId));
     m_service = findService(*m_table, m_serviceName);
     restrictTo(m_regions, m_route->allowedRegions);
-    countRequest(m_relay.state().repeats[m_serviceName], m_relay.options().repeats, m_arrived);
+    countRequest(m_relay.state().retryAllowances[m_serviceName], m_relay.options().retryRules, m_arrived);
     return true;
 }
 
-// Callers take it for final that a route or key is unknown. A document that may be old does not show it, and another
-// router may know better.
+// Callers treat an unknown route or key as final. If the document is not confirmed as current, the refusal is temporary
+// instead: another router may have a newer document.
 void RelayCall::refuseUnknown(ErrorKind kind, const std::string &message)
 {
     if (m_relay.hasConfirmedDocument(m_arrived)) {
         refuse(kind, message, std::nullopt);
     } else {
-        refuse(ErrorKind::NotConfigured, "unconfirmed document: " + message, comeBackByLot());
+        refuse(ErrorKind::NotConfigured, "configuration not confirmed as current: " + message, randomizedRetryAfter());
     }
 }
 
@@ -125,7 +128,7 @@
     }
     const PrepaidCustomer *customer = Godwit::findCustomer(*m_table, m_facts.key);
     if (customer == nullptr) {
-        refuseUnknown(ErrorKind::Unauthenticated, "no customer holds this key");
+        refuseUnknown(ErrorKind::Unauthenticated, "the API key is unknown");
         return false;
     }
     m_customer = customer->name;
@@ -138,11 +141,11 @@
     return true;
 }
 
-// Callers that are refused together should not come back together.
-Duration RelayCall::comeBackByLot() const
+// Spreads the retries of callers that were refused at the same time.
+Duration RelayCall::randomizedRetryAfter() const
 {
-    const double lot = static_cast<double>(m_relay.random() % 1024) / 1024.0;
-    return std::chrono::duration_cast<Duration>(m_relay.options().comeBack * (0.3 + 2 * lot));
+    const double fraction = static_cast<double>(m_relay.random() % 1024) / 1024.0;
+    return std::chrono::duration_cast<Duration>(m_relay.options().defaultRetryAfter * (0.3 + 2 * fraction));
 }
 
 void RelayCall::attempt()
@@ -154,17 +157,17 @@
         return;
     }
     if (admission == Admission::Deferred) {
-        refuseForNow();
+        refuseSuspectForNow();
         return;
     }
-    const bool trial = admission == Admission::Trial && m_relay.onTrialWanted;
-    if (trial && !maySpareTrial()) {
-        refuseForNow();
+    const bool trial = admission == Admission::Trial && m_relay.onTrialRequested;
+    if (trial && !canAffordTrial()) {
+        refuseSuspectForNow();
         return;
     }
     ChoiceQuery query;
     query.service = m_serviceName;
-    query.tried = m_tried;
+    query.tried = m_triedEndpoints;
     if (trial) {
         const auto &others = m_relay.state().trialEndpoints;
         query.tried.insert(query.tried.end(), others.begin(), others.end());
@@ -186,48 +189,48 @@
     const Choice choice =
         chooseEndpoint(m_relay.state().endpoints, query, m_relay.options().choice, m_relay.random(), Relay::now());
     if (choice.endpoint == nullptr) {
-        if (m_headPassed) {
-            // A refusal's head in the middle of a stream would be bytes that are no answer.
-            breakOff("no_endpoint");
+        if (m_headForwarded) {
+            // A refusal can't be sent once part of a stream has been forwarded.
+            abortAnswer("no_endpoint");
         } else if (trial && !m_relay.state().trialEndpoints.empty()) {
-            refuseForNow();
+            refuseSuspectForNow();
         } else if (m_progress == Progress::Sent) {
-            refuse(ErrorKind::EndpointFailed, "the endpoint failed and no other is left", std::nullopt);
+            refuse(ErrorKind::EndpointFailed, "the endpoint failed and no other endpoint is available", std::nullopt);
         } else {
-            refuse(ErrorKind::NoEndpoint, "no endpoint of the service takes requests", endpointsBack());
+            refuse(ErrorKind::NoEndpoint, "no endpoint of the service accepts requests", endpointRetryAfter());
         }
         return;
     }
     if (trial) {
-        askForTrial(choice);
+        requestTrial(choice);
     } else {
-        begin(choice);
+        startAttempt(choice);
     }
 }
 
-void RelayCall::begin(const Choice &choice)
+void RelayCall::startAttempt(const Choice &choice)
 {
     sendTo(choice);
     if (m_service != nullptr && m_service->engine && m_facts.promptTokens > 0) {
-        beginReading(*choice.endpoint, choice.uncachedTokens);
+        beginPrefill(*choice.endpoint, choice.uncachedTokens);
     }
 }
 
-// When the caller should come back for want of an endpoint: where all are cold, once the first is warm.
-Duration RelayCall::endpointsBack() const
+// Retry-After when no endpoint is available. If all endpoints are cold, this is when the first one is warm again.
+Duration RelayCall::endpointRetryAfter() const
 {
     const TimePoint now = Relay::now();
     const auto warm = nextWarmAt(m_relay.state().endpoints, m_serviceName, now);
-    return warm ? *warm - now + comeBackByLot() : m_relay.options().comeBack;
+    return warm ? *warm - now + randomizedRetryAfter() : m_relay.options().defaultRetryAfter;
 }
 
-void RelayCall::beginReading(EndpointState &endpoint, Tokens unread)
+void RelayCall::beginPrefill(EndpointState &endpoint, Tokens unread)
 {
     const PrefillSpeed &speed = m_relay.state().endpoints.prefillSpeeds[m_serviceName];
     do {
-        m_read = m_relay.random();
-    } while (m_read == 0);
-    beginPrefill(endpoint.load, speed, m_read, unread, m_sentAt);
+        m_prefill = m_relay.random();
+    } while (m_prefill == 0);
+    beginPrefill(endpoint.load, speed, m_prefill, unread, m_sentAt);
     if (m_relay.onPromptSent) {
         PromptSent prompt{m_endpoint, unread, {}};
         if (m_route->cachesPrompts) {
@@ -240,22 +243,22 @@
 void RelayCall::onFirstEvent()
 {
     EndpointState *endpoint = currentEndpoint();
-    if (m_read != 0 && endpoint != nullptr) {
-        finishPrefill(endpoint->load, m_relay.state().endpoints.prefillSpeeds[m_serviceName], m_read, Relay::now());
+    if (m_prefill != 0 && endpoint != nullptr) {
+        finishPrefill(endpoint->load, m_relay.state().endpoints.prefillSpeeds[m_serviceName], m_prefill, Relay::now());
     }
-    m_read = 0;
+    m_prefill = 0;
 }
 
-void RelayCall::stopReading()
+void RelayCall::dropPrefill()
 {
     EndpointState *endpoint = currentEndpoint();
-    if (m_read != 0 && endpoint != nullptr) {
-        cancelPrefill(endpoint->load, m_relay.state().endpoints.prefillSpeeds[m_serviceName], m_read, Relay::now());
+    if (m_prefill != 0 && endpoint != nullptr) {
+        cancelPrefill(endpoint->load, m_relay.state().endpoints.prefillSpeeds[m_serviceName], m_prefill, Relay::now());
     }
-    m_read = 0;
+    m_prefill = 0;
 }
 
-// Asked once the connection stands.
+// Called once a new connection is established: the endpoint may have started to leave or reached its limit meanwhile.
 bool RelayCall::maySend()
 {
     const EndpointState *chosen = currentEndpoint();
@@ -264,7 +267,7 @@
     }
     const TimePoint now = Relay::now();
     const bool limited = isColdStartLimited(m_relay.state().endpoints, *chosen, now);
-    return !limited || (m_coldChoice && now < m_sentAt + m_relay.options().coldChoiceHolds);
+    return !limited || (m_coldChoice && now < m_sentAt + m_relay.options().coldChoiceMaxAge);
 }
 
 void RelayCall::sendTo(const Choice &choice)
@@ -275,18 +278,18 @@
     send.customer = m_customer.value;
     send.timeLeft = timeLeft();
     send.priority = std::clamp(m_urgency, 0, LeastUrgent);
-    if (m_eventsPassed > 0) {
+    if (m_eventsForwarded > 0) {
         send.resumeAfter = m_lastEvent;
     }
     m_endpoint = endpoint.listed.id;
     m_endpointStart = endpoint.listed.startedAt;
-    m_tried.push_back(m_endpoint);
+    m_triedEndpoints.push_back(m_endpoint);
     m_sentAt = Relay::now();
     m_attemptOpen = true;
     m_coldChoice = choice.cold;
     m_answerHead.reset();
-    m_ending.reset();
-    m_whole.clear();
+    m_answerEnding.reset();
+    m_bufferedBody.clear();
     m_events = {};
     ++m_sends;
     ++m_relay.counters().attempts;
@@ -298,7 +301,7 @@
         return self->maySend();
     };
     handlers.onSending = [self, left = send.timeLeft] {
-        self->noteSending(left);
+        self->recordSending(left);
     };
     handlers.onHead = [self](const AnswerHead &head, const ResponseMetadata &facts) {
         self->onHead(head, facts);
@@ -322,24 +325,24 @@
 
 void RelayCall::onFailed(ExchangeFailure failure)
 {
-    const bool nothingSent = failure == ExchangeFailure::NotConnected || failure == ExchangeFailure::Withdrawn;
+    const bool nothingSent = failure == ExchangeFailure::NotConnected || failure == ExchangeFailure::EndpointLeft;
     if (nothingSent) {
-        endAttempt(failure == ExchangeFailure::Withdrawn ? AttemptFeedback::Neutral : AttemptFeedback::Unreachable);
-        tryAgain(std::string(exchangeFailureName(failure)), false);
+        endAttempt(failure == ExchangeFailure::EndpointLeft ? AttemptFeedback::Neutral : AttemptFeedback::Unreachable);
+        retryOrFail(std::string(exchangeFailureName(failure)), false);
         return;
     }
     if (m_answerHead) {
-        noteEnding();
+        recordAnswerEnding();
     }
     m_progress = Progress::Sent;
-    ++m_ran;
-    m_mayHaveBegun = true;
+    ++m_possibleExecutions;
+    m_mayHaveProducedOutput = true;
     endAttempt(AttemptFeedback::Unreachable);
     const std::string cause(exchangeFailureName(failure));
     if (failure == ExchangeFailure::Malformed) {
-        tryAgain(cause, true);
+        retryOrFail(cause, true);
     } else {
-        tryAgainOnceKnown(cause);
+        retryAfterCrashCheck(cause);
     }
 }
 
@@ -349,31 +352,35 @@
         return;
     }
     if (m_attemptOpen) {
-        giveUpAttempt();
+        abandonAttempt();
     }
-    if (m_headPassed) {
-        breakOff("deadline");
+    if (m_headForwarded) {
+        abortAnswer("deadline");
     } else if (m_progress == Progress::Sent) {
-        refuse(ErrorKind::AnswerLate, "the endpoint did not answer in time", std::nullopt);
+        refuse(ErrorKind::AnswerLate, "the endpoint did not respond before the deadline", std::nullopt);
     } else {
-        refuse(ErrorKind::Overloaded, "no endpoint took the request in time", m_relay.options().comeBack);
+        refuse(ErrorKind::Overloaded,
+               "no endpoint accepted the request before the deadline",
+               m_relay.options().defaultRetryAfter);
     }
 }
 
-// Nobody waits for the open attempt's answer any more.
-void RelayCall::giveUpAttempt()
+// Stops the open attempt because its response is no longer wanted.
+void RelayCall::abandonAttempt()
 {
     m_progress = Progress::Sent;
-    ++m_ran;
-    // Only the events of a stream show how far its engine has come: an answer in one piece may be made without a byte.
-    const bool eventsTell = m_route->kind == GatewayRouteKind::Streaming && m_eventsPassed == 0;
-    if (m_holdsTokens && !m_mayHaveBegun && eventsTell) {
+    ++m_possibleExecutions;
+    // Only a stream shows by its events whether output was produced: other responses may be computed before the first
+    // byte is sent.
+    const bool eventsShowProgress = m_route->kind == GatewayRouteKind::Streaming && m_eventsForwarded == 0;
+    if (m_hasReservation && !m_mayHaveProducedOutput && eventsShowProgress) {
         m_withdrawing = true;
-        m_exchange->withdraw(m_relay.options().withdrawalLimit, [self = shared_from_this()](WithdrawalOutcome outcome) {
-            self->onWithdrawn(outcome);
-        });
+        m_exchange->withdraw(m_relay.options().withdrawalTimeout,
+                             [self = shared_from_this()](WithdrawalOutcome outcome) {
+                                 self->onWithdrawn(outcome);
+                             });
     } else {
-        m_mayHaveBegun = true;
+        m_mayHaveProducedOutput = true;
         m_exchange->cancel();
     }
     endAttempt(silenceVerdict());
@@ -382,7 +389,7 @@
 void RelayCall::onWithdrawn(WithdrawalOutcome outcome)
 {
     m_withdrawing = false;
-    m_mayHaveBegun = outcome == WithdrawalOutcome::Answered || outcome == WithdrawalOutcome::Unknown;
+    m_mayHaveProducedOutput = outcome == WithdrawalOutcome::Answered || outcome == WithdrawalOutcome::Unknown;
     m_relay.log().write("withdrawn",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"endpoint", std::string_view(m_endpoint.value)},
@@ -393,36 +400,37 @@
     }
 }
 
-// What an attempt that is given up says of its endpoint. An endpoint whose host has vanished closes no connection: its
-// silence is the only sign, and the requests that follow should not wait there as well.
+// Health verdict on the endpoint of an abandoned attempt. An endpoint whose host has vanished never closes its
+// connections, so the lack of data is the only sign of failure; later requests should not be sent there to time out
+// too.
 AttemptFeedback RelayCall::silenceVerdict() const
 {
     const Duration silence = Relay::now() - std::max(m_sentAt, m_lastEventAt.value_or(m_sentAt));
-    return silence >= m_relay.options().suspiciousSilence ? AttemptFeedback::Slow : AttemptFeedback::Neutral;
+    return silence >= m_relay.options().slowEndpointThreshold ? AttemptFeedback::Slow : AttemptFeedback::Neutral;
 }
 
-void RelayCall::callerLeft()
+void RelayCall::onCallerDisconnected()
 {
     if (m_closed) {
         return;
     }
-    ++m_relay.counters().callersLeft;
+    ++m_relay.counters().callerDisconnects;
     if (m_attemptOpen) {
-        giveUpAttempt();
+        abandonAttempt();
     }
     m_relay.log().write("caller_left",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"after_ms", toMilliseconds(Relay::now() - m_arrived)},
-                         {"may_have_run", m_ran > 0},
-                         {"events_passed", static_cast<std::int64_t>(m_eventsPassed)}});
-    close(CallEnd::CallerLeft);
+                         {"may_have_run", m_possibleExecutions > 0},
+                         {"events_passed", static_cast<std::int64_t>(m_eventsForwarded)}});
+    close(CallEnd::CallerDisconnected);
 }
 
 void RelayCall::endAttempt(AttemptFeedback verdict)
 {
     m_attemptOpen = false;
     m_exchange.reset();
-    stopReading();
+    dropPrefill();
     if (EndpointState *endpoint = currentEndpoint()) {
         Godwit::endAttempt(*endpoint, verdict, m_relay.options().choice, Relay::now());
     }
@@ -451,7 +459,7 @@
                          {"after_ms", toMilliseconds(Relay::now() - m_arrived)},
                          {"document", static_cast<std::int64_t>(m_table ? m_table->document.version : 0)},
                          {"platform_in_reach", m_relay.state().platformInReach},
-                         {"may_have_run", m_ran > 0}});
+                         {"may_have_run", m_possibleExecutions > 0}});
     auto *sink = m_sink;
     const std::string bytes = writeRefusal(error, m_facts.attemptId, sink->beginAnswer(ResponseFraming::Length));
     close(CallEnd::Refused);
@@ -459,18 +467,18 @@
     sink->finish();
 }
 
-void RelayCall::breakOff(std::string_view cause)
+void RelayCall::abortAnswer(std::string_view cause)
 {
-    ++m_relay.counters().brokenOff;
+    ++m_relay.counters().truncatedAnswers;
     m_relay.log().write("broken_off",
                         {{"id", std::string_view(m_facts.attemptId)},
                          {"cause", cause},
                          {"endpoint", std::string_view(m_endpoint.value)},
-                         {"events_passed", static_cast<std::int64_t>(m_eventsPassed)},
+                         {"events_passed", static_cast<std::int64_t>(m_eventsForwarded)},
                          {"after_ms", toMilliseconds(Relay::now() - m_arrived)}});
     auto *sink = m_sink;
-    close(CallEnd::BrokenOff);
-    sink->breakOff();
+    close(CallEnd::Truncated);
+    sink->abort();
 }
 
 void RelayCall::close(CallEnd end)
@@ -481,13 +489,13 @@
     m_closed = true;
     m_end = end;
     endTrial();
-    m_timer.cancel();
-    m_patience.cancel();
-    if (m_waitsForTokens) {
-        m_waitsForTokens = false;
+    m_deadlineTimer.cancel();
+    m_budgetTimer.cancel();
+    if (m_waitingForTokens) {
+        m_waitingForTokens = false;
         m_relay.stopWaiting(shared_from_this());
     }
-    if (m_holdsTokens && !m_withdrawing) {
+    if (m_hasReservation && !m_withdrawing) {
         settleTokens();
     }
     recordEnd(end);
