--- a/godwit/daemon/budget_keeper.cpp
+++ b/godwit/daemon/budget_keeper.cpp
@@ -165,7 +165,7 @@
 {
     m_nextKeep = now + m_options.keepInterval;
     m_leaseCallOpen = true;
-    m_store.keepLease(m_lease, [this, now, uptime = Relay::uptime(), call = ++m_leaseCalls](StoreStatus status) {
+    m_store.renewLease(m_lease, [this, now, uptime = Relay::uptime(), call = ++m_leaseCalls](StoreStatus status) {
         // News of a former lease says nothing of its successor.
         if (call != m_leaseCalls) {
             return;
@@ -385,7 +385,7 @@
         onWriteRefused(share, false);
         onReached(false);
         break;
-    case StoreStatus::HistoryGone:
+    case StoreStatus::HistoryCompacted:
     case StoreStatus::Unknown:
         onWriteUnknown(share);
         onReached(false);
@@ -401,14 +401,14 @@
 // The answer says what stands, which saves two reads in the frequent case that another router was faster.
 void BudgetKeeper::onConditionFailed(const StoreWriteReply &reply)
 {
-    if (!reply.standing || !m_writtenLedger) {
+    if (!reply.currentItems || !m_writtenLedger) {
         m_nextRecords = TimePoint{};
         readRecords();
         return;
     }
     StoreItemReply ledger{StoreStatus::NotFound, {}};
     StoreItemReply mark{StoreStatus::NotFound, {}};
-    for (const StoreItem &item : *reply.standing) {
+    for (const StoreItem &item : *reply.currentItems) {
         if (item.key == m_options.ledgerKey) {
             ledger = {StoreStatus::Ok, item};
         } else if (item.key == m_options.markKey) {
@@ -441,7 +441,7 @@
     // Until it has worked the tick tries again; the owner bounds how long.
     if (share.returned && m_lease != 0) {
         loseShareLease(m_relay.state().limitShares);
-        m_store.endLease(m_lease, [done = std::exchange(m_returned, [] {})](StoreStatus) {
+        m_store.revokeLease(m_lease, [done = std::exchange(m_returned, [] {})](StoreStatus) {
             done();
         });
     }
--- a/godwit/daemon/first_death_keeper.cpp
+++ b/godwit/daemon/first_death_keeper.cpp
@@ -78,9 +78,9 @@
             m_stored = known;
             m_relay.log().write("first_deaths_kept", {{"count", static_cast<std::int64_t>(known.size())}});
             onBookChanged();
-        } else if (reply.status == StoreStatus::ConditionFailed && reply.standing) {
+        } else if (reply.status == StoreStatus::ConditionFailed && reply.currentItems) {
             m_revision = 0;
-            for (const StoreItem &item : *reply.standing) {
+            for (const StoreItem &item : *reply.currentItems) {
                 onItem(item);
             }
         }
--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -511,21 +511,21 @@
     EntryServer::Answer answerEntry()
     {
         return [this](const std::string &method, const std::string &target) {
-            const EntryQuestion question = readEntryQuestion(method, target);
+            const PlatformQuery question = parsePlatformQuery(method, target);
             EntryAnswer answer;
-            if (question.call == EntryCall::Ready) {
+            if (question.kind == PlatformQueryKind::Ready) {
                 answer.status = m_relay.isReady() ? 200 : 503;
                 answer.body = "{}";
-            } else if (question.call == EntryCall::Addresses) {
+            } else if (question.kind == PlatformQueryKind::Addresses) {
                 const auto addresses = addressAnswer(question);
                 answer.status = addresses.empty() ? 503 : 200;
-                answer.body = addresses.empty() ? "{}" : writeAddresses(addresses, m_settings.addressesFor);
+                answer.body = addresses.empty() ? "{}" : formatAddressList(addresses, m_settings.addressesFor);
             }
             return answer;
         };
     }
 
-    std::vector<std::string> addressAnswer(const EntryQuestion &question)
+    std::vector<std::string> addressAnswer(const PlatformQuery &question)
     {
         std::vector<EntryAddress> hosts = m_links.callerAddresses();
         if (m_relay.isReady()) {
@@ -539,7 +539,7 @@
     }
 
     // Where routes are bound to regions, a router elsewhere would pass their requests on to another region.
-    AllowedRegions entryRegions(const EntryQuestion &question)
+    AllowedRegions entryRegions(const PlatformQuery &question)
     {
         const auto &routes = m_relay.state().routes;
         AllowedRegions allowed = routes ? regionsOfHost(*routes, question.host) : AllowedRegions();
--- a/godwit/daemon/gateway_metrics.cpp
+++ b/godwit/daemon/gateway_metrics.cpp
@@ -61,7 +61,7 @@
     line(out, "godwit_sends_under_suspicion_total", static_cast<double>(counters.sends.underSuspicion));
     line(out, "godwit_calls_open", relay.callsOpen);
     line(out, "godwit_platform_calls_total", static_cast<double>(store.calls));
-    for (std::size_t kind = 0; kind < StoreCallKinds; ++kind) {
+    for (std::size_t kind = 0; kind < StoreCallKindCount; ++kind) {
         out << "godwit_platform_calls_by_kind_total{kind=\"" << storeCallKindName(static_cast<StoreCallKind>(kind))
             << "\"} " << store.byKind[kind] << '\n';
     }
--- a/godwit/daemon/shared_prefix.cpp
+++ b/godwit/daemon/shared_prefix.cpp
@@ -147,12 +147,12 @@
 void SharedPrefix::onRead(const StoreItemsReply &reply, TimePoint began, bool inTurn)
 {
     // Calls go over several connections, and their answers overtake each other.
-    if (reply.at < m_copy.completeTo) {
+    if (reply.revision < m_copy.completeTo) {
         return;
     }
     noteOwnReading(began);
     const auto before = valuesBefore(reply.items);
-    const auto changes = adoptSnapshot(m_copy, reply.items, reply.at);
+    const auto changes = adoptSnapshot(m_copy, reply.items, reply.revision);
     if (!changes.empty()) {
         onChanged(changes);
     }
@@ -466,7 +466,7 @@
     m_following = watches;
     ++m_round;
     m_timer.cancel();
-    m_store.dropWatch(m_prefix);
+    m_store.cancelWatch(m_prefix);
     if (watches) {
         m_watchedTo = m_copy.completeTo;
         follow();
@@ -478,7 +478,7 @@
     if (m_copy.complete) {
         ++m_round;
         m_timer.cancel();
-        m_store.dropWatch(m_prefix);
+        m_store.cancelWatch(m_prefix);
         m_following = false;
         // By then the others have said that they reach it too.
         later(m_options.gather, [this] {
@@ -506,7 +506,7 @@
             return;
         }
         noteOwnReading(began);
-        onChanged(adoptSnapshot(m_copy, reply.items, reply.at));
+        onChanged(adoptSnapshot(m_copy, reply.items, reply.revision));
     });
 }
 
@@ -521,9 +521,9 @@
 
 void SharedPrefix::onWatched(const StoreItemsReply &reply)
 {
-    m_reached(reply.status == StoreStatus::Ok || reply.status == StoreStatus::HistoryGone);
+    m_reached(reply.status == StoreStatus::Ok || reply.status == StoreStatus::HistoryCompacted);
     if (reply.status != StoreStatus::Ok) {
-        const bool gone = reply.status == StoreStatus::HistoryGone;
+        const bool gone = reply.status == StoreStatus::HistoryCompacted;
         if (gone) {
             read(true);
         }
@@ -533,7 +533,7 @@
         });
         return;
     }
-    m_watchedTo = std::max(m_watchedTo, reply.at);
+    m_watchedTo = std::max(m_watchedTo, reply.revision);
     if (reply.items.empty()) {
         follow();
         return;
--- a/godwit/daemon/suspect_records.cpp
+++ b/godwit/daemon/suspect_records.cpp
@@ -135,10 +135,10 @@
 
 void SuspectKeeper::takeStanding(std::uint64_t fingerprint, const StoreWriteReply &reply)
 {
-    if (!reply.standing) {
+    if (!reply.currentItems) {
         return;
     }
-    for (const StoreItem &item : *reply.standing) {
+    for (const StoreItem &item : *reply.currentItems) {
         if (item.key == keyOf(fingerprint)) {
             take(fingerprint, item);
             return;
--- a/godwit/platform/http_platform.cpp
+++ b/godwit/platform/http_platform.cpp
@@ -58,7 +58,7 @@
     return request;
 }
 
-std::uint64_t versionOf(const HttpResponse &response)
+std::uint64_t parseVersion(const HttpResponse &response)
 {
     const auto text = response["Godwit-Version"];
     std::uint64_t version = 0;
@@ -66,7 +66,7 @@
     return version;
 }
 
-std::string memberText(const nlohmann::json &object, const char *key)
+std::string stringMember(const nlohmann::json &object, const char *key)
 {
     const auto found = object.find(key);
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string();
@@ -76,7 +76,7 @@
 {
     KvReply reply;
     reply.tag = command.tag;
-    reply.version = versionOf(response);
+    reply.version = parseVersion(response);
     switch (response.result_int()) {
     case 200:
         reply.status = KvStatus::Ok;
@@ -102,7 +102,7 @@
         reply.value = listing["keys"].dump();
     } else if (command.verb == KvVerb::GrantLease) {
         const auto granted = nlohmann::json::parse(response.body(), nullptr, false);
-        reply.value = granted.is_object() ? memberText(granted, "lease") : std::string();
+        reply.value = granted.is_object() ? stringMember(granted, "lease") : std::string();
     } else if (command.verb == KvVerb::Get || reply.status == KvStatus::Conflict) {
         reply.value = std::move(response.body());
     }
@@ -117,13 +117,13 @@
 HostListEntry hostFromJson(const nlohmann::json &row)
 {
     HostListEntry entry;
-    entry.host = memberText(row, "host");
-    entry.role = memberText(row, "role");
-    entry.address = memberText(row, "address");
-    entry.peerAddress = memberText(row, "peer_address");
-    entry.dataCentre = memberText(row, "data_centre");
-    entry.route = memberText(row, "route");
-    entry.leaving = memberText(row, "state") == "leaving";
+    entry.host = stringMember(row, "host");
+    entry.role = stringMember(row, "role");
+    entry.address = stringMember(row, "address");
+    entry.peerAddress = stringMember(row, "peer_address");
+    entry.dataCentre = stringMember(row, "data_centre");
+    entry.route = stringMember(row, "route");
+    entry.leaving = stringMember(row, "state") == "leaving";
     return entry;
 }
 
@@ -150,29 +150,29 @@
     Impl(asio::io_context &io, HttpPlatformOptions options)
         : m_io(io)
         , m_options(std::move(options))
-        , m_calls(io, clientOptions(m_options.connections))
+        , m_callClient(io, clientOptions(m_options.connections))
     {
     }
 
-    void enqueue(HttpRequest request, bool idempotent, CallClient::Done done)
+    void send(HttpRequest request, bool idempotent, CallClient::Done done)
     {
-        prepare(request);
-        m_calls.call(std::move(request),
-                     {m_options.callTimeout, idempotent},
-                     [this, done = std::move(done)](CallOutcome outcome, HttpResponse &response) {
-                         m_counters.rejected += outcome == CallOutcome::NotSent ? 1 : 0;
-                         m_counters.unknown += outcome == CallOutcome::Lost ? 1 : 0;
-                         done(outcome, response);
-                     });
+        setCommonHeaders(request);
+        m_callClient.call(std::move(request),
+                          {m_options.callTimeout, idempotent},
+                          [this, done = std::move(done)](CallOutcome outcome, HttpResponse &response) {
+                              m_counters.rejected += outcome == CallOutcome::NotSent ? 1 : 0;
+                              m_counters.unknown += outcome == CallOutcome::Lost ? 1 : 0;
+                              done(outcome, response);
+                          });
     }
 
-    void watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> changed)
+    void watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> onChange)
     {
         auto watch = std::make_unique<Watch>(m_io, clientOptions(1));
         watch->prefix = std::move(prefix);
-        watch->changed = std::move(changed);
+        watch->onChange = std::move(onChange);
         m_watches.push_back(std::move(watch));
-        ask(*m_watches.back());
+        poll(*m_watches.back());
     }
 
     PlatformCounters m_counters;
@@ -181,15 +181,15 @@
     struct Watch
     {
         Watch(asio::io_context &io, CallClientOptions options)
-            : calls(io, std::move(options))
-            , pause(io)
+            : client(io, std::move(options))
+            , retryTimer(io)
         {
         }
 
-        CallClient calls; // Its own connection: a watch occupies it nearly all the time.
-        asio::steady_timer pause;
+        CallClient client; // Its own connection: a watch occupies it nearly all the time.
+        asio::steady_timer retryTimer;
         std::string prefix;
-        std::function<void(const std::vector<KeyChange> &)> changed;
+        std::function<void(const std::vector<KeyChange> &)> onChange;
         std::uint64_t revision = 0;
     };
 
@@ -202,50 +202,50 @@
         return options;
     }
 
-    void prepare(HttpRequest &request) const
+    void setCommonHeaders(HttpRequest &request) const
     {
         request.set(http::field::host, "platform");
         request.set("Godwit-Host", m_options.host);
     }
 
-    void ask(Watch &watch)
+    void poll(Watch &watch)
     {
-        const auto waitMs = std::chrono::duration_cast<std::chrono::milliseconds>(m_options.watchWait).count();
+        const auto waitMs = std::chrono::duration_cast<std::chrono::milliseconds>(m_options.longPollWait).count();
         HttpRequest request{http::verb::get,
                             "/v1/watch?prefix=" + percentEncode(watch.prefix)
                                 + "&after=" + std::to_string(watch.revision) + "&wait_ms=" + std::to_string(waitMs),
                             11};
-        prepare(request);
+        setCommonHeaders(request);
         ++m_counters.watches;
-        watch.calls.call(std::move(request),
-                         {m_options.watchWait + m_options.callTimeout, true},
-                         [this, &watch](CallOutcome outcome, HttpResponse &response) {
-                             if (outcome == CallOutcome::Answered
-                                 && readChanges(response, watch.revision, watch.changed)) {
-                                 ask(watch);
-                                 return;
-                             }
-                             startOver(watch);
-                         });
+        watch.client.call(std::move(request),
+                          {m_options.longPollWait + m_options.callTimeout, true},
+                          [this, &watch](CallOutcome outcome, HttpResponse &response) {
+                              if (outcome == CallOutcome::Answered
+                                  && readChanges(response, watch.revision, watch.onChange)) {
+                                  poll(watch);
+                                  return;
+                              }
+                              restartWatch(watch);
+                          });
     }
 
     // Changes may have gone by while the service was away, and a service that was replaced may count from another
     // revision: the reader reads again, and the watch starts over.
-    void startOver(Watch &watch)
+    void restartWatch(Watch &watch)
     {
         watch.revision = 0;
-        watch.changed({});
-        watch.pause.expires_after(m_options.watchRetry);
-        watch.pause.async_wait([this, &watch](beast::error_code error) {
+        watch.onChange({});
+        watch.retryTimer.expires_after(m_options.watchRetryDelay);
+        watch.retryTimer.async_wait([this, &watch](beast::error_code error) {
             if (!error) {
-                ask(watch);
+                poll(watch);
             }
         });
     }
 
     static bool readChanges(const HttpResponse &response,
                             std::uint64_t &revision,
-                            const std::function<void(const std::vector<KeyChange> &)> &changed)
+                            const std::function<void(const std::vector<KeyChange> &)> &onChange)
     {
         const auto document = nlohmann::json::parse(response.body(), nullptr, false);
         if (response.result_int() != 200 || !document.is_object()) {
@@ -260,18 +260,18 @@
         for (const auto &row : *rows) {
             if (row.is_object()) {
                 changes.push_back(KeyChange{
-                    memberText(row, "key"), row.value("version", std::uint64_t{0}), row.value("deleted", false)});
+                    stringMember(row, "key"), row.value("version", std::uint64_t{0}), row.value("deleted", false)});
             }
         }
         if (!changes.empty()) {
-            changed(changes);
+            onChange(changes);
         }
         return true;
     }
 
     asio::io_context &m_io;
     HttpPlatformOptions m_options;
-    CallClient m_calls;
+    CallClient m_callClient;
     std::vector<std::unique_ptr<Watch>> m_watches;
 };
 
@@ -288,35 +288,35 @@
     ++(read ? m_impl->m_counters.reads : m_impl->m_counters.writes);
     HttpRequest request = makeRequest(command);
     command.value.clear();
-    m_impl->enqueue(std::move(request),
-                    read,
-                    [command = std::move(command), done = std::move(done)](CallOutcome result, HttpResponse &response) {
-                        if (result == CallOutcome::Answered) {
-                            done(makeReply(command, response));
-                            return;
-                        }
-                        KvReply reply;
-                        reply.tag = command.tag;
-                        reply.status = result == CallOutcome::NotSent ? KvStatus::Rejected : KvStatus::Unknown;
-                        done(std::move(reply));
-                    });
+    m_impl->send(std::move(request),
+                 read,
+                 [command = std::move(command), done = std::move(done)](CallOutcome result, HttpResponse &response) {
+                     if (result == CallOutcome::Answered) {
+                         done(makeReply(command, response));
+                         return;
+                     }
+                     KvReply reply;
+                     reply.tag = command.tag;
+                     reply.status = result == CallOutcome::NotSent ? KvStatus::Rejected : KvStatus::Unknown;
+                     done(std::move(reply));
+                 });
 }
 
-void HttpPlatform::watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> changed)
+void HttpPlatform::watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> onChange)
 {
-    m_impl->watch(std::move(prefix), std::move(changed));
+    m_impl->watch(std::move(prefix), std::move(onChange));
 }
 
 void HttpPlatform::readHosts(std::function<void(std::optional<std::vector<HostListEntry>>)> done)
 {
     ++m_impl->m_counters.reads;
-    m_impl->enqueue(HttpRequest{http::verb::get, "/v1/hosts", 11},
-                    true,
-                    [done = std::move(done)](CallOutcome result, HttpResponse &response) {
-                        done(result == CallOutcome::Answered && response.result_int() == 200
-                                 ? hostsFromJson(response.body())
-                                 : std::nullopt);
-                    });
+    m_impl->send(HttpRequest{http::verb::get, "/v1/hosts", 11},
+                 true,
+                 [done = std::move(done)](CallOutcome result, HttpResponse &response) {
+                     done(result == CallOutcome::Answered && response.result_int() == 200
+                              ? hostsFromJson(response.body())
+                              : std::nullopt);
+                 });
 }
 
 const PlatformCounters &HttpPlatform::counters() const
--- a/godwit/platform/http_platform.h
+++ b/godwit/platform/http_platform.h
@@ -21,8 +21,8 @@
     int connections = 6; // Calls in flight at most; watches have a connection of their own.
     Duration connectTimeout = std::chrono::milliseconds(500);
     Duration callTimeout = std::chrono::seconds(2);
-    Duration watchWait = std::chrono::seconds(20);
-    Duration watchRetry = std::chrono::milliseconds(250);
+    Duration longPollWait = std::chrono::seconds(20);
+    Duration watchRetryDelay = std::chrono::milliseconds(250);
 };
 
 class HttpPlatform : public Platform
@@ -33,7 +33,7 @@
     ~HttpPlatform() override;
 
     void execute(KvCommand command, std::function<void(KvReply)> done) override;
-    void watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> changed) override;
+    void watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> onChange) override;
     void readHosts(std::function<void(std::optional<std::vector<HostListEntry>>)> done) override;
     const PlatformCounters &counters() const override;
 
--- a/godwit/platform/platform.h
+++ b/godwit/platform/platform.h
@@ -59,7 +59,7 @@
 
     // Reports changes under `prefix` until the process ends. The first report may repeat changes already known.
     // `changed` gets an empty list after each time that the service was away: the reader must read again.
-    virtual void watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> changed) = 0;
+    virtual void watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> onChange) = 0;
 
     // nullopt when the service did not answer.
     virtual void readHosts(std::function<void(std::optional<std::vector<HostListEntry>>)> done) = 0;
--- a/godwit/relay/caller_connection.cpp
+++ b/godwit/relay/caller_connection.cpp
@@ -176,7 +176,7 @@
     m_saidClose = true; // What follows on this connection can't be read either.
     m_relay.log().write("unreadable_request", {{"cause", std::string_view(refusal.message)}});
     ++m_relay.counters().refusals[refusal.kind];
-    send(writeRefusal(refusal, "", true));
+    send(formatErrorResponse(refusal, "", true));
     finish();
 }
 
--- a/godwit/relay/caller_connection_test.cpp
+++ b/godwit/relay/caller_connection_test.cpp
@@ -303,8 +303,8 @@
         account().mark = Mark{Total, 0, 0, std::chrono::hours(1)};
         boost::asio::write(caller,
                            boost::asio::buffer("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n"
-                                               + std::string(AttemptIdField) + ": 1\r\n" + std::string(CustomerKeyField)
-                                               + ": key\r\n" + std::string(TimeLeftField) + ": " + millisecondsLeft
+                                               + std::string(AttemptIdField) + ": 1\r\n" + std::string(ApiKeyField)
+                                               + ": key\r\n" + std::string(TimeRemainingField) + ": " + millisecondsLeft
                                                + "\r\n" + std::string(TokenCountsField) + ": 700,20\r\n\r\n"));
         runUntil([this] {
             return relay.counters().attempts > 0;
@@ -348,8 +348,8 @@
     {
         boost::asio::write(engine,
                            boost::asio::buffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-                                               + std::string(AttemptIdField) + ": 1\r\n" + std::string(SealField)
-                                               + ": s\r\n\r\n7\r\n" + event + "\r\n"));
+                                               + std::string(AttemptIdField) + ": 1\r\n"
+                                               + std::string(ResponseSealField) + ": s\r\n\r\n7\r\n" + event + "\r\n"));
     }
 
     ShareAccount &account()
--- a/godwit/relay/endpoint_exchange.cpp
+++ b/godwit/relay/endpoint_exchange.cpp
@@ -312,7 +312,7 @@
     if (head.result_int() / 100 == 1) {
         return true;
     }
-    m_facts = readAnswer(head);
+    m_facts = parseResponseHead(head);
     m_facts.framing = framingOf(*m_parser);
     // A second answer to an earlier request on this connection may come in the place of ours.
     m_skipping = !m_facts.attemptId.empty() && m_facts.attemptId != m_attemptId;
--- a/godwit/relay/endpoint_exchange.h
+++ b/godwit/relay/endpoint_exchange.h
@@ -56,7 +56,7 @@
     std::function<bool()> maySend;
     // Called before the first byte goes out on any connection; unset: nobody is told.
     std::function<void()> onSending;
-    std::function<void(const AnswerHead &, const AnswerFacts &)> onHead;
+    std::function<void(const ResponseHead &, const AnswerFacts &)> onHead;
     std::function<void(std::string_view)> onBody;
     std::function<void()> onEnd;
     std::function<void(ExchangeFailure)> onFailed;
--- a/godwit/relay/endpoint_exchange_test.cpp
+++ b/godwit/relay/endpoint_exchange_test.cpp
@@ -184,7 +184,7 @@
     }
     SECTION("it says that it did not run the request")
     {
-        answer(endpoint, "503 Busy\r\n" + std::string(NotRunField) + ": 1" + attemptOf + "a");
+        answer(endpoint, "503 Busy\r\n" + std::string(NotExecutedField) + ": 1" + attemptOf + "a");
         expected = WithdrawalOutcome::NotRun;
     }
     SECTION("an answer to an earlier request comes first")
--- a/godwit/relay/relay_call.cpp
+++ b/godwit/relay/relay_call.cpp
@@ -54,7 +54,7 @@
 void RelayCall::start()
 {
     LastReason reason;
-    const auto facts = readRequest(m_head, reason);
+    const auto facts = parseRequestHead(m_head, reason);
     if (!facts) {
         refuse(reason->kind, reason->message, std::nullopt);
         return;
@@ -300,7 +300,7 @@
     handlers.onSending = [self, left = send.timeLeft] {
         self->noteSending(left);
     };
-    handlers.onHead = [self](const AnswerHead &head, const AnswerFacts &facts) {
+    handlers.onHead = [self](const ResponseHead &head, const AnswerFacts &facts) {
         self->onHead(head, facts);
     };
     handlers.onBody = [self](std::string_view bytes) {
@@ -314,8 +314,10 @@
     };
     m_exchange = std::make_shared<EndpointExchange>(
         m_relay.io(), m_relay.pool(), m_relay.options().exchange, std::move(handlers));
-    m_exchange->start(
-        m_endpoint, endpoint.listed.address, writeRequestHead(m_head, send, m_body.size()) + m_body, m_facts.attemptId);
+    m_exchange->start(m_endpoint,
+                      endpoint.listed.address,
+                      formatRequestHead(m_head, send, m_body.size()) + m_body,
+                      m_facts.attemptId);
     m_newConnection = m_exchange->connectionIsNew();
     m_relay.counters().connectionsOpened += m_newConnection ? 1 : 0;
 }
@@ -453,7 +455,7 @@
                          {"platform_in_reach", m_relay.state().platformInReach},
                          {"may_have_run", m_ran > 0}});
     auto *sink = m_sink;
-    const std::string bytes = writeRefusal(error, m_facts.attemptId, sink->beginAnswer(AnswerFraming::Length));
+    const std::string bytes = formatErrorResponse(error, m_facts.attemptId, sink->beginAnswer(AnswerFraming::Length));
     close(CallEnd::Refused);
     sink->send(bytes);
     sink->finish();
--- a/godwit/relay/relay_call.h
+++ b/godwit/relay/relay_call.h
@@ -91,7 +91,7 @@
     void noteSending(Duration timeLeft);
     bool maySend();
     Duration endpointsBack() const;
-    void onHead(const AnswerHead &head, const AnswerFacts &facts);
+    void onHead(const ResponseHead &head, const AnswerFacts &facts);
     void onBody(std::string_view bytes);
     void onEnd();
     void onFailed(ExchangeFailure failure);
@@ -174,7 +174,7 @@
     bool m_coldChoice = false; // The latest attempt is one of the few that a cold endpoint gets.
     ReadId m_read = 0; // The prompt that the endpoint still has to read; 0: none.
 
-    std::optional<AnswerHead> m_answerHead;
+    std::optional<ResponseHead> m_answerHead;
     AnswerFacts m_answer;
     std::optional<AnswerEnding> m_ending; // Of the latest attempt's answer, once it has ended.
     bool m_streams = false; // The answer is passed on event by event.
--- a/godwit/relay/relay_call_answer.cpp
+++ b/godwit/relay/relay_call_answer.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-void RelayCall::onHead(const AnswerHead &head, const AnswerFacts &facts)
+void RelayCall::onHead(const ResponseHead &head, const AnswerFacts &facts)
 {
     m_answerHead = head;
     m_answer = facts;
@@ -45,7 +45,7 @@
     m_passedFraming = framingToPass(m_answer.framing, framing);
     m_relay.counters().answersWithoutDeclaredEnd += m_passedFraming == AnswerFraming::Connection ? 1 : 0;
     const bool closes = m_sink->beginAnswer(m_passedFraming);
-    m_sink->send(writeAnswerHead(*m_answerHead, m_passedFraming, body.size(), closes).append(body));
+    m_sink->send(formatResponseHead(*m_answerHead, m_passedFraming, body.size(), closes).append(body));
 }
 
 void RelayCall::passPiece(std::string_view bytes)
@@ -77,7 +77,7 @@
     appendBytes(m_events, bytes);
     std::string whole;
     while (auto event = takeEvent(m_events)) {
-        m_lastEvent = eventNumber(*event).value_or(m_lastEvent);
+        m_lastEvent = parseEventId(*event).value_or(m_lastEvent);
         ++m_eventsPassed;
         whole += *event;
     }
--- a/soak/caller.cpp
+++ b/soak/caller.cpp
@@ -69,8 +69,8 @@
     CallerRequest request(verb, target, 11);
     request.set(http::field::host, SoakHost);
     request.set(AttemptIdField, attempt);
-    request.set(CustomerKeyField, key);
-    request.set(TimeLeftField, std::to_string(TimeLeft.count()));
+    request.set(ApiKeyField, key);
+    request.set(TimeRemainingField, std::to_string(TimeLeft.count()));
     return request;
 }
 
@@ -150,7 +150,7 @@
     if (parser.is_header_done()) {
         outcome.status = parser.get().result_int();
         outcome.attempt = std::string(parser.get()[AttemptIdField]);
-        outcome.seal = std::string(parser.get()[SealField]);
+        outcome.seal = std::string(parser.get()[ResponseSealField]);
         outcome.endDeclared = !parser.need_eof();
     }
     if (error) {
@@ -194,8 +194,8 @@
         const auto onBody = [&](const std::string &body) {
             noteEvents(fleet.promises, attempt, stream ? countEvents(body) : 0);
         };
-        const Outcome outcome =
-            caller.call(fleet.routers[router].process->callers(), makeRequest(sent, target, attempt), onBody, yield);
+        const Outcome outcome = caller.call(
+            fleet.routers[router].process->callerAddress(), makeRequest(sent, target, attempt), onBody, yield);
         noteOutcome(fleet.promises, attempt, outcome, steadyNow());
     }
 }
@@ -225,7 +225,7 @@
             noteEvents(fleet.promises, attempt, kind == RequestKind::Write ? countEvents(body) : 0);
         };
         const Outcome outcome = caller.call(
-            fleet.routers[sent.router].process->callers(), makeRequest(sent, target, attempt), onBody, yield);
+            fleet.routers[sent.router].process->callerAddress(), makeRequest(sent, target, attempt), onBody, yield);
         noteOutcome(fleet.promises, attempt, outcome, steadyNow());
     }
 }
@@ -246,7 +246,7 @@
         noteRequest(fleet.promises, "plain", answer.sentAt);
         const auto request = makeRequest(http::verb::get, documentPath(answer.version) + "1", attempt, OtherKey);
         const Outcome outcome = caller.call(
-            router.process->callers(), request, [](const std::string &) {}, yield);
+            router.process->callerAddress(), request, [](const std::string &) {}, yield);
         answer.status = outcome.status;
         if (outcome.kind == OutcomeKind::Answered && router.boot == answer.boot) {
             noteDocument(fleet.promises, answer, steadyNow());
--- a/soak/fault_player.cpp
+++ b/soak/fault_player.cpp
@@ -197,7 +197,7 @@
         waitFor(m_fleet.io, WatchStep, yield);
         for (std::size_t i = 0; i < m_fleet.routers.size(); ++i) {
             Router &router = m_fleet.routers[i];
-            const auto ended = router.process->takeEnd();
+            const auto ended = router.process->pollExit();
             if (!ended) {
                 continue;
             }
@@ -355,9 +355,9 @@
     extend(m_fleet.promises.disturbed.unplanned, time);
     Testing::StoreFaults &faults = m_fleet.store.faults();
     faults.refuse = faults.refuse || fault == Fault::StoreRefuses;
-    faults.silent = faults.silent || fault == Fault::StoreSilent;
-    faults.loseAnswers = faults.loseAnswers || fault == Fault::StoreLosesAnswers;
-    faults.deafWatches = faults.deafWatches || fault == Fault::StoreDeafWatches;
+    faults.hang = faults.hang || fault == Fault::StoreSilent;
+    faults.dropWriteResponses = faults.dropWriteResponses || fault == Fault::StoreLosesAnswers;
+    faults.suppressWatchEvents = faults.suppressWatchEvents || fault == Fault::StoreDeafWatches;
     spawn([this, time](const yield_context &yield) {
         waitFor(m_fleet.io, time, yield);
         m_fleet.store.faults() = {};
@@ -379,12 +379,12 @@
     }
     say(fault, endpoint.id, time);
     disturbEndpoint(index, time);
-    Testing::ReplicaFaults &faults = endpoint.replica->faults();
+    Testing::EndpointFaults &faults = endpoint.replica->faults();
     faults.shed = faults.shed || fault == Fault::EndpointSheds;
     faults.fail = faults.fail || fault == Fault::EndpointFails;
     faults.hang = faults.hang || fault == Fault::EndpointHangs;
-    faults.breakAfterRun = faults.breakAfterRun || fault == Fault::EndpointBreaksAfterRun;
-    faults.breakAfterEvents = fault == Fault::EndpointBreaksStreams ? draw(0, EventsOfStream - 1) : -1;
+    faults.resetAfterRun = faults.resetAfterRun || fault == Fault::EndpointBreaksAfterRun;
+    faults.resetAfterEvents = fault == Fault::EndpointBreaksStreams ? draw(0, EventsOfStream - 1) : -1;
     endpoint.proxy->faults().repeatAnswers = fault == Fault::RepeatAnswers;
     if (fault == Fault::AcceptLate) {
         endpoint.proxy->acceptLate();
@@ -589,20 +589,20 @@
 }
 
 // An answer that its endpoint ends too early, and yet declares whole, is left out: nobody could tell.
-Testing::AnswerShape FaultPlayer::drawShape(bool stream)
+Testing::ResponseScript FaultPlayer::drawShape(bool stream)
 {
     using Framing = Standins::BodyFraming::Kind;
-    using Testing::AnswerClose;
-    using Testing::AnswerStop;
-    Testing::AnswerShape shape;
+    using Testing::ResponseCut;
+    using Testing::ResponseTermination;
+    Testing::ResponseScript shape;
     shape.framing = static_cast<Framing>(drawFrom(m_shapeRandom, 0, 2));
-    shape.stop = static_cast<AnswerStop>(drawFrom(m_shapeRandom, 0, 4));
-    shape.stopAfter = drawFrom(m_shapeRandom, 1, EventsOfStream - 1);
-    shape.close = static_cast<AnswerClose>(drawFrom(m_shapeRandom, 0, 2));
-    const bool inside = shape.stop == AnswerStop::InsideNumber || shape.stop == AnswerStop::InsideEvent;
-    const bool shows = shape.framing == Framing::Connection || shape.stop == AnswerStop::AtEnd || (stream && inside);
-    if (shape.close == AnswerClose::AsFramed && !shows) {
-        shape.close = AnswerClose::InOrder;
+    shape.cut = static_cast<ResponseCut>(drawFrom(m_shapeRandom, 0, 4));
+    shape.eventsBeforeCut = drawFrom(m_shapeRandom, 1, EventsOfStream - 1);
+    shape.termination = static_cast<ResponseTermination>(drawFrom(m_shapeRandom, 0, 2));
+    const bool inside = shape.cut == ResponseCut::InsideEventId || shape.cut == ResponseCut::InsideEvent;
+    const bool shows = shape.framing == Framing::Connection || shape.cut == ResponseCut::None || (stream && inside);
+    if (shape.termination == ResponseTermination::AsFramed && !shows) {
+        shape.termination = ResponseTermination::Close;
     }
     return shape;
 }
@@ -616,8 +616,8 @@
     const Time time(drawFrom(m_shapeRandom, 200, 2500));
     say(Fault::ShapeAnswers, endpoint.id, time);
     disturbEndpoint(index, time);
-    endpoint.replica->shapeAnswers([this, stream](const std::string &attempt) {
-        const Testing::AnswerShape shape = drawShape(stream);
+    endpoint.replica->setResponseScript([this, stream](const std::string &attempt) {
+        const Testing::ResponseScript shape = drawShape(stream);
         if (shape.framing == Standins::BodyFraming::Kind::Connection) {
             noteUndeclaredEnd(m_fleet.promises, attempt);
         }
@@ -625,7 +625,7 @@
     });
     spawn([this, index, time](const yield_context &yield) {
         waitFor(m_fleet.io, time, yield);
-        m_fleet.endpoints[index].replica->shapeAnswers(nullptr);
+        m_fleet.endpoints[index].replica->setResponseScript(nullptr);
     });
 }
 
--- a/soak/fault_player.h
+++ b/soak/fault_player.h
@@ -111,7 +111,7 @@
     void killRouter(std::size_t router);
     void leaveEndpoint(std::size_t endpoint);
     void shapeAnswers();
-    Testing::AnswerShape drawShape(bool stream);
+    Testing::ResponseScript drawShape(bool stream);
     void holdUpConnecting(std::size_t endpoint);
     void killFleet();
     void restartFleet();
--- a/soak/fleet.cpp
+++ b/soak/fleet.cpp
@@ -73,7 +73,7 @@
 std::string throughProxies(const Fleet &fleet, std::string entry)
 {
     for (const Router &router : fleet.routers) {
-        const std::string address = '"' + router.process->peers() + '"';
+        const std::string address = '"' + router.process->peerAddress() + '"';
         const auto found = entry.find(address);
         if (found != std::string::npos) {
             entry.replace(found, address.size(), '"' + router.peers->address() + '"');
@@ -93,10 +93,10 @@
 }
 
 // Of the request that came last.
-std::optional<Duration> timeLeftOf(const Testing::ReplicaService &replica)
+std::optional<Duration> timeLeftOf(const Testing::FakeEndpoint &replica)
 {
-    const auto field = replica.lastFields().find("x-time-remaining-ms");
-    if (field == replica.lastFields().end()) {
+    const auto field = replica.lastHeaders().find("x-time-remaining-ms");
+    if (field == replica.lastHeaders().end()) {
         return std::nullopt;
     }
     return std::chrono::milliseconds(std::stoll(field->second));
@@ -118,8 +118,8 @@
     Endpoint endpoint;
     endpoint.id = "i-" + service + '-' + std::to_string(number);
     endpoint.service = service;
-    endpoint.replica = std::make_unique<Testing::ReplicaService>(fleet.io, endpoint.id, EventsOfStream);
-    endpoint.replica->pace() = Testing::ReplicaPace{AnswerAfter, EventPause, true};
+    endpoint.replica = std::make_unique<Testing::FakeEndpoint>(fleet.io, endpoint.id, EventsOfStream);
+    endpoint.replica->behaviour() = Testing::EndpointBehaviour{AnswerAfter, EventPause, true};
     endpoint.proxy = std::make_unique<FaultProxy>(fleet.io, endpoint.replica->address());
     const std::size_t index = fleet.endpoints.size();
     endpoint.replica->faults() = fleet.lastingFaults[index];
@@ -127,7 +127,7 @@
         noteArrival(fleet.promises, service, attempt, steadyNow());
         noteTimeHanded(fleet.promises, attempt, timeLeftOf(*fleet.endpoints[index].replica), steadyNow());
     });
-    endpoint.replica->onRequest([&fleet, index](const std::string &target, const std::string &attempt) {
+    endpoint.replica->setRunFilter([&fleet, index](const std::string &target, const std::string &attempt) {
         if (target.find(CrashTarget) != std::string::npos) {
             noteCrashRun(fleet.promises, target, attempt, steadyNow());
             crashSoon(fleet, index, target);
@@ -153,13 +153,13 @@
     promises.repeatSlack = size.repeats.slack;
     varyAttempts = size.varyAttempts;
     lastingFaults.resize(size.plainEndpoints + size.engines);
-    for (Testing::ReplicaFaults &faults : lastingFaults) {
-        faults.failEach = size.failEach;
-        faults.shedEach = size.shedEach;
+    for (Testing::EndpointFaults &faults : lastingFaults) {
+        faults.failEvery = size.failEach;
+        faults.shedEvery = size.shedEach;
     }
-    lastingFaults.front().failAfter = size.failAfter;
-    lastingFaults[size.plainEndpoints].failAfter = size.failAfter;
-    store.rewrite = [this](const std::string &, std::string bytes) {
+    lastingFaults.front().failureDelay = size.failAfter;
+    lastingFaults[size.plainEndpoints].failureDelay = size.failAfter;
+    store.rewriteValue = [this](const std::string &, std::string bytes) {
         return throughProxies(*this, std::move(bytes));
     };
     promises.leavingSince.resize(size.plainEndpoints + size.engines);
@@ -180,7 +180,7 @@
         router.store = std::make_unique<FaultProxy>(io, store.address());
         router.process = std::make_unique<Testing::RouterProcess>(
             program, "router-" + std::to_string(i), router.store->address(), size.repeats);
-        router.peers = std::make_unique<FaultProxy>(io, router.process->peers());
+        router.peers = std::make_unique<FaultProxy>(io, router.process->peerAddress());
         routers.push_back(std::move(router));
     }
 }
@@ -188,7 +188,7 @@
 void listEndpoint(Fleet &fleet, std::size_t endpoint, const std::string &state)
 {
     const Endpoint &listed = fleet.endpoints[endpoint];
-    json entry = json::parse(listed.replica->listing(listed.service, state));
+    json entry = json::parse(listed.replica->storeEntry(listed.service, state));
     entry["Address"] = listed.proxy->address();
     fleet.store.put("servers/" + listed.id, entry.dump());
     if (state == "ready") {
@@ -209,7 +209,7 @@
         *until = std::max(*until, steadyNow() + down);
     }
     endpoint.proxy->refuse();
-    endpoint.replica->die();
+    endpoint.replica->crash();
     after(fleet.io, down, [&fleet, index] {
         Endpoint &back = fleet.endpoints[index];
         fleet.store.remove("servers/" + back.id);
--- a/soak/fleet.h
+++ b/soak/fleet.h
@@ -7,9 +7,9 @@
 //   boost::asio::io_context io;
 //   Fleet fleet(io, program, FleetSize{});
 
-#include "platform/testing/replica_service.h"
+#include "platform/testing/fake_endpoint.h"
+#include "platform/testing/fake_store_server.h"
 #include "platform/testing/router_process.h"
-#include "platform/testing/store_service.h"
 #include "soak/fault_proxy.h"
 #include "soak/promises.h"
 
@@ -34,7 +34,7 @@
     std::size_t plainEndpoints = 3;
     std::size_t engines = 2;
     std::int64_t prepaid = 40'000; // Tokens.
-    Testing::RepeatSettings repeats{2, 20};
+    Testing::RetryBudgetSettings repeats{2, 20};
     int failEach = 0; // As an endpoint's lasting fault.
     int shedEach = 0;
     std::chrono::milliseconds failAfter{0}; // Of the first endpoint of each service.
@@ -60,7 +60,7 @@
     std::string service;
     int start = 1;
     bool dead = false;
-    std::unique_ptr<Testing::ReplicaService> replica;
+    std::unique_ptr<Testing::FakeEndpoint> replica;
     std::unique_ptr<FaultProxy> proxy;
 };
 
@@ -70,10 +70,10 @@
 
     boost::asio::io_context &io;
     Promises promises;
-    Testing::StoreService store;
+    Testing::FakeStoreServer store;
     std::vector<Endpoint> endpoints;
     std::vector<Router> routers;
-    std::vector<Testing::ReplicaFaults> lastingFaults; // By endpoint, beside those that come and go.
+    std::vector<Testing::EndpointFaults> lastingFaults; // By endpoint, beside those that come and go.
     bool varyAttempts = false;
     bool ending = false; // Nothing new begins.
 };
