--- a/godwit/platform/http_platform.cpp
+++ b/godwit/platform/http_platform.cpp
@@ -82,14 +82,14 @@
         reply.status = KvStatus::Ok;
         break;
     case 404:
-    case 410: // The lease has lapsed.
+    case 410: // The lease has expired.
         reply.status = KvStatus::NotFound;
         return reply;
     case 409:
         reply.status = KvStatus::Conflict;
         break;
     default:
-        // An answer that is none of the service's own may come from something in between: nothing is known.
+        // The service sends no other status, so the response may come from an intermediary: the outcome is unknown.
         reply.status = KvStatus::Unknown;
         return reply;
     }
@@ -186,7 +186,7 @@
         {
         }
 
-        CallClient client; // Its own connection: a watch occupies it nearly all the time.
+        CallClient client; // Separate connection, since a pending long poll occupies it nearly all the time.
         asio::steady_timer retryTimer;
         std::string prefix;
         std::function<void(const std::vector<KeyChange> &)> onChange;
@@ -229,8 +229,8 @@
                           });
     }
 
-    // Changes may have gone by while the service was away, and a service that was replaced may count from another
-    // revision: the reader reads again, and the watch starts over.
+    // After a failed poll: changes may have been missed, and a replaced service may count revisions from another start.
+    // Has the reader read the prefix again, and polls from revision 0 after a delay.
     void restartWatch(Watch &watch)
     {
         watch.revision = 0;
--- a/godwit/platform/http_platform.h
+++ b/godwit/platform/http_platform.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The platform over its HTTP interface. See platform.h.
+// Platform over its HTTP interface. See platform.h.
 
 #include "godwit/base/time.h"
 #include "godwit/platform/platform.h"
@@ -16,19 +16,19 @@
 
 struct HttpPlatformOptions
 {
-    std::vector<std::string> addresses; // "ip:port", tried in order from the last one that answered.
-    std::string host; // This host's name, sent with each call.
-    int connections = 6; // Calls in flight at most; watches have a connection of their own.
+    std::vector<std::string> addresses; // "ip:port", tried in order, starting with the last one that responded.
+    std::string host; // Name of this host, sent with each call.
+    int connections = 6; // Maximum number of calls in flight. Each watch has an additional connection.
     Duration connectTimeout = std::chrono::milliseconds(500);
     Duration callTimeout = std::chrono::seconds(2);
-    Duration longPollWait = std::chrono::seconds(20);
-    Duration watchRetryDelay = std::chrono::milliseconds(250);
+    Duration longPollWait = std::chrono::seconds(20); // How long the service may hold a watch without changes.
+    Duration watchRetryDelay = std::chrono::milliseconds(250); // Between a failed poll and the next one.
 };
 
 class HttpPlatform : public Platform
 {
 public:
-    // `io` outlives this object and is run by the control thread alone.
+    // `io` must outlive this object and must be run by the control thread only.
     HttpPlatform(boost::asio::io_context &io, HttpPlatformOptions options);
     ~HttpPlatform() override;
 
--- a/godwit/platform/platform.h
+++ b/godwit/platform/platform.h
@@ -1,9 +1,8 @@
 #pragma once
 
-// The platform's key-value service and host list, as the control thread uses them.
+// Interface of the platform's key-value service and host list.
 //
-// An implementation talks to one kind of platform; HttpPlatform is the one that ships. All calls and callbacks
-// run on the control thread.
+// HttpPlatform is the implementation for production. All calls and callbacks run on the control thread.
 //
 // Example:
 //   platform.execute(command, [](KvReply reply) { ... });
@@ -27,26 +26,26 @@
     bool deleted = false;
 };
 
-// A line of the host list. The list lags behind the truth.
+// An entry of the host list. The list is eventually consistent: it may show hosts that are gone and lack new ones.
 struct HostListEntry
 {
     std::string host;
     std::string role; // "router", "engine" or "service".
     std::string address;
-    std::string peerAddress; // Routers only.
+    std::string peerAddress; // For links between routers; set for routers only.
     std::string dataCentre;
     std::string route;
     bool leaving = false;
 };
 
-// Calls made so far, for metrics and the call allowance.
+// Calls since construction, for metrics and for the limit on the call rate.
 struct PlatformCounters
 {
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
     std::uint64_t watches = 0;
-    std::uint64_t unknown = 0; // Calls whose answer was lost.
-    std::uint64_t rejected = 0; // Calls that did not reach the service.
+    std::uint64_t unknown = 0; // Calls that got no response, so their outcome is unknown.
+    std::uint64_t rejected = 0; // Calls that were not sent, so they had no effect.
 };
 
 class Platform
@@ -54,14 +53,15 @@
 public:
     virtual ~Platform() = default;
 
-    // Calls `done` exactly once, with the command's tag. Unknown after a timeout: a write may have taken effect.
+    // Executes a command and calls `done` exactly once, with the command's tag. After a timeout the status is Unknown:
+    // a write may have taken effect.
     virtual void execute(KvCommand command, std::function<void(KvReply)> done) = 0;
 
-    // Reports changes under `prefix` until the process ends. The first report may repeat changes already known.
-    // `changed` gets an empty list after each time that the service was away: the reader must read again.
+    // Reports changes under `prefix` for the lifetime of this object. The first report may repeat known changes. After
+    // a failed poll `onChange` gets an empty list: changes may have been missed, so the prefix must be read again.
     virtual void watch(std::string prefix, std::function<void(const std::vector<KeyChange> &)> onChange) = 0;
 
-    // nullopt when the service did not answer.
+    // Reads the host list; nullopt when the service did not respond or the response was malformed.
     virtual void readHosts(std::function<void(std::optional<std::vector<HostListEntry>>)> done) = 0;
 
     virtual const PlatformCounters &counters() const = 0;
