--- a/godwit/relay/caller_connection.cpp
+++ b/godwit/relay/caller_connection.cpp
@@ -176,7 +176,7 @@
     m_closeAfterAnswer = true; // The start of the next request can't be determined.
     m_relay.log().write("unreadable_request", {{"cause", std::string_view(refusal.message)}});
     ++m_relay.counters().refusals[refusal.kind];
-    send(writeRefusal(refusal, "", true));
+    send(formatErrorResponse(refusal, "", true));
     finish();
 }
 
--- a/godwit/relay/endpoint_exchange.h
+++ b/godwit/relay/endpoint_exchange.h
@@ -56,7 +56,7 @@
     std::function<bool()> maySend;
     // Called before the first byte is sent on a new or pooled connection. Optional.
     std::function<void()> onSending;
-    std::function<void(const AnswerHead &, const ResponseMetadata &)> onHead;
+    std::function<void(const ResponseHead &, const ResponseMetadata &)> onHead;
     std::function<void(std::string_view)> onBody;
     std::function<void()> onEnd;
     std::function<void(ExchangeFailure)> onFailed;
--- a/godwit/relay/endpoint_exchange_test.cpp
+++ b/godwit/relay/endpoint_exchange_test.cpp
@@ -184,7 +184,7 @@
     }
     SECTION("it reports that it did not run the request")
     {
-        answer(endpoint, "503 Busy\r\n" + std::string(NotRunField) + ": 1" + attemptOf + "a");
+        answer(endpoint, "503 Busy\r\n" + std::string(NotExecutedField) + ": 1" + attemptOf + "a");
         expected = WithdrawalOutcome::NotRun;
     }
     SECTION("a response to an earlier request comes first")
--- a/godwit/relay/relay_call.h
+++ b/godwit/relay/relay_call.h
@@ -93,7 +93,7 @@
     void recordSending(Duration timeLeft);
     bool maySend();
     Duration endpointRetryAfter() const;
-    void onHead(const AnswerHead &head, const ResponseMetadata &facts);
+    void onHead(const ResponseHead &head, const ResponseMetadata &facts);
     void onBody(std::string_view bytes);
     void onEnd();
     void onFailed(ExchangeFailure failure);
@@ -176,12 +176,13 @@
     bool m_coldChoice = false; // The latest attempt is one of the rate-limited requests to a cold endpoint.
     PrefillId m_prefill = 0; // The endpoint's pending prefill of the prompt; 0: none.
 
-    std::optional<AnswerHead> m_answerHead;
+    std::optional<ResponseHead> m_answerHead;
     ResponseMetadata m_answer;
     std::optional<ResponseEnding> m_answerEnding; // How the latest attempt's response ended; unset before.
     bool m_forwardsEvents = false; // The response is forwarded event by event.
     bool m_headForwarded = false;
-    ResponseFraming m_forwardedFraming = ResponseFraming::Length; // Framing used towards the caller; valid with m_headForwarded.
+    ResponseFraming m_forwardedFraming =
+        ResponseFraming::Length; // Framing used towards the caller; valid with m_headForwarded.
     std::string m_bufferedBody; // Body that is buffered before it is forwarded.
     EventSplitter m_events;
     std::uint64_t m_lastEvent = 0;
--- a/godwit/relay/relay_call_answer.cpp
+++ b/godwit/relay/relay_call_answer.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-void RelayCall::onHead(const AnswerHead &head, const ResponseMetadata &facts)
+void RelayCall::onHead(const ResponseHead &head, const ResponseMetadata &facts)
 {
     m_answerHead = head;
     m_answer = facts;
@@ -45,7 +45,7 @@
     m_forwardedFraming = framingToForward(m_answer.framing, framing);
     m_relay.counters().answersWithoutDeclaredEnd += m_forwardedFraming == ResponseFraming::Connection ? 1 : 0;
     const bool closes = m_sink->beginAnswer(m_forwardedFraming);
-    m_sink->send(writeAnswerHead(*m_answerHead, m_forwardedFraming, body.size(), closes).append(body));
+    m_sink->send(formatResponseHead(*m_answerHead, m_forwardedFraming, body.size(), closes).append(body));
 }
 
 void RelayCall::forwardPiece(std::string_view bytes)
@@ -78,7 +78,7 @@
     appendBytes(m_events, bytes);
     std::string whole;
     while (auto event = takeEvent(m_events)) {
-        m_lastEvent = eventNumber(*event).value_or(m_lastEvent);
+        m_lastEvent = parseEventId(*event).value_or(m_lastEvent);
         ++m_eventsForwarded;
         whole += *event;
     }
