--- a/godwit/prepaid/prepaid_share_test.cpp
+++ b/godwit/prepaid/prepaid_share_test.cpp
@@ -767,7 +767,8 @@
         runRequests(sim, 20, std::chrono::seconds(6), false);
         sim.sync(0, WriteOutcome::Done);
         const Mark &mark = accountAt(sim, 0).mark;
-        INFO(total << ": " << mark.limit - mark.used << " ahead, binding for " << mark.fixedPeriod.count() << " ms");
+        INFO(total << ": " << mark.limit - mark.used << " tokens of write-ahead, fixed for " << mark.fixedPeriod.count()
+                   << " ms");
         CHECK(mark.limit - mark.used <= (total - mark.used) * 135 / 1000);
         CHECK(mark.fixedPeriod <= std::chrono::milliseconds(2300));
     }
