--- a/godwit/gateway/connection_pause_test.cpp
+++ b/godwit/gateway/connection_pause_test.cpp
@@ -34,7 +34,7 @@
 
 // Callers that keep to one small host: so many requests a second, whatever they are told. All that is on its way when a
 // pause begins is cut.
-Outcome serve(double requestsPerSecond, bool pauses)
+Outcome simulate(double requestsPerSecond, bool pauses)
 {
     struct Arriving
     {
@@ -98,23 +98,23 @@
 TEST_CASE("a small host that callers keep to serves what its link carries")
 {
     // Guards against a queue of seconds before the host, in which all requests run out of time.
-    const Outcome without = serve(230, false);
-    const Outcome with = serve(230, true);
+    const Outcome without = simulate(230, false);
+    const Outcome with = simulate(230, true);
     CHECK(without.inTime < without.requests / 10);
     CHECK(with.inTime > with.requests / 2);
 }
 
 TEST_CASE("a small host goes on serving through a burst of four times as many requests")
 {
-    const Outcome without = serve(800, false);
-    const Outcome with = serve(800, true);
+    const Outcome without = simulate(800, false);
+    const Outcome with = simulate(800, true);
     CHECK(with.inTime > 5 * without.inTime);
     CHECK(with.longestClosed <= smallHost().maxPause);
 }
 
 TEST_CASE("what a link carries is never turned away")
 {
-    const Outcome outcome = serve(150, true);
+    const Outcome outcome = simulate(150, true);
     CHECK(outcome.inTime >= outcome.requests - 1);
     CHECK(outcome.longestClosed == Duration::zero());
 }
--- a/godwit/gateway/endpoint_table.cpp
+++ b/godwit/gateway/endpoint_table.cpp
@@ -286,10 +286,10 @@
     ++endpoint.inFlight;
 }
 
-void endAttempt(EndpointState &endpoint, AttemptFeedback verdict, const ChoiceOptions &options, TimePoint now)
+void endAttempt(EndpointState &endpoint, AttemptFeedback feedback, const ChoiceOptions &options, TimePoint now)
 {
     --endpoint.inFlight;
-    switch (verdict) {
+    switch (feedback) {
     case AttemptFeedback::Neutral:
         return;
     case AttemptFeedback::Good:
--- a/godwit/gateway/endpoint_table.h
+++ b/godwit/gateway/endpoint_table.h
@@ -168,6 +168,6 @@
 
 void beginAttempt(EndpointState &endpoint);
 
-void endAttempt(EndpointState &endpoint, AttemptFeedback verdict, const ChoiceOptions &options, TimePoint now);
+void endAttempt(EndpointState &endpoint, AttemptFeedback feedback, const ChoiceOptions &options, TimePoint now);
 
 } // namespace Godwit
--- a/godwit/gateway/gateway_test.cpp
+++ b/godwit/gateway/gateway_test.cpp
@@ -88,8 +88,8 @@
         CHECK(at - before <= maxReadGap(options, routers));
         before = at;
         for (TimePoint &own : due) {
-            const bool hears = own == at || draw(random) < 0.7;
-            own = hears ? nextReadTime(options, at, routers, draw(random)) : own;
+            const bool notified = own == at || draw(random) < 0.7;
+            own = notified ? nextReadTime(options, at, routers, draw(random)) : own;
         }
     }
     CHECK(maxReadGap(options, routers) < std::chrono::milliseconds(1200));
@@ -163,15 +163,15 @@
     query.sharedTokens = 500;
     query.latencyTarget = std::chrono::milliseconds(400);
     const ChoiceOptions options;
-    const EndpointId favourite = chooseEndpoint(table, query, options, 1, Start).endpoint->listed.id;
-    CHECK(chooseEndpoint(table, query, options, 77, Start).endpoint->listed.id == favourite);
-    EndpointState &usual = table.endpoints.at(favourite);
-    beginPrefill(usual.load, speed, 1, 2'000, Start);
-    CHECK(chooseEndpoint(table, query, options, 77, Start).endpoint == &usual);
+    const EndpointId preferred = chooseEndpoint(table, query, options, 1, Start).endpoint->listed.id;
+    CHECK(chooseEndpoint(table, query, options, 77, Start).endpoint->listed.id == preferred);
+    EndpointState &preferredState = table.endpoints.at(preferred);
+    beginPrefill(preferredState.load, speed, 1, 2'000, Start);
+    CHECK(chooseEndpoint(table, query, options, 77, Start).endpoint == &preferredState);
     CHECK(chooseEndpoint(table, query, options, 77, Start).uncachedTokens == 1'000);
-    beginPrefill(usual.load, speed, 2, 50'000, Start);
+    beginPrefill(preferredState.load, speed, 2, 50'000, Start);
     const Choice second = chooseEndpoint(table, query, options, 77, Start);
-    CHECK(second.endpoint != &usual);
+    CHECK(second.endpoint != &preferredState);
     CHECK(second.uncachedTokens == 1'500);
     // It is kept there now as well.
     CHECK(chooseEndpoint(table, query, options, 5, Start).endpoint == second.endpoint);
--- a/godwit/gateway/retry_budget_test.cpp
+++ b/godwit/gateway/retry_budget_test.cpp
@@ -22,7 +22,7 @@
 constexpr TimePoint Start{std::chrono::hours(100)};
 constexpr Duration Step = milliseconds(20);
 constexpr Duration LeaseTime = seconds(12);
-constexpr Duration KeepInterval = milliseconds(3500);
+constexpr Duration RenewInterval = milliseconds(3500);
 constexpr Duration ClaimInterval = milliseconds(500);
 
 struct Store
@@ -42,9 +42,9 @@
     std::string name;
     RetryBudget budget;
     LimitShares shares;
-    std::size_t heard = 1; // Routers that it believes to be live, itself included.
-    TimePoint cutUntil; // From the store.
-    TimePoint keepAt;
+    std::size_t knownRouters = 1; // Routers that it believes to be live, itself included.
+    TimePoint partitionedUntil; // From the store.
+    TimePoint renewAt;
     TimePoint claimAt;
 };
 
@@ -61,7 +61,7 @@
 
 struct Repeats
 {
-    double most = 0; // In any window, as a multiple of what is allowed then.
+    double maxUse = 0; // In any window, as a multiple of what is allowed then.
     int taken = 0;
 };
 
@@ -84,7 +84,7 @@
     }
 }
 
-void keepLease(Fleet &fleet, Router &router, TimePoint now)
+void renewLease(Fleet &fleet, Router &router, TimePoint now)
 {
     const auto stored = fleet.store.leases.find(router.shares.lease);
     std::uint64_t lease = router.shares.lease;
@@ -94,13 +94,13 @@
     }
     fleet.store.leases[lease] = now + LeaseTime;
     renewShareLease(router.shares, lease, uptimeAt(now) + LeaseTime);
-    router.keepAt = now + KeepInterval;
+    router.renewAt = now + RenewInterval;
 }
 
 void claimShares(Fleet &fleet, Router &router, TimePoint now, int first)
 {
     router.claimAt = now + ClaimInterval;
-    const int fair = fairShareCount(router.heard, minShares(fleet.rules));
+    const int fair = fairShareCount(router.knownRouters, minShares(fleet.rules));
     for (const ShareClaim &released : releaseSurplus(router.shares, fleet.options, fair)) {
         fleet.store.entries.erase(released.number);
     }
@@ -123,8 +123,8 @@
 {
     router.budget = {};
     router.shares = {};
-    router.heard = 1;
-    router.keepAt = {};
+    router.knownRouters = 1;
+    router.renewAt = {};
     router.claimAt = {};
 }
 
@@ -136,7 +136,7 @@
     fleet.routers.resize(routers);
     for (std::size_t i = 0; i < routers; ++i) {
         fleet.routers[i].name = "router-" + std::to_string(i);
-        fleet.routers[i].heard = routers;
+        fleet.routers[i].knownRouters = routers;
     }
     return fleet;
 }
@@ -152,7 +152,7 @@
 }
 
 // Requests come to the routers in turn.
-Repeats play(Fleet &fleet, Duration time, std::uint64_t seed = 1)
+Repeats simulate(Fleet &fleet, Duration time, std::uint64_t seed = 1)
 {
     std::mt19937_64 random(seed);
     Repeats result;
@@ -164,10 +164,10 @@
         expire(fleet.store, now);
         fleet.disturb(fleet, now);
         for (Router &router : fleet.routers) {
-            if (now >= router.cutUntil && now >= router.keepAt) {
-                keepLease(fleet, router, now);
+            if (now >= router.partitionedUntil && now >= router.renewAt) {
+                renewLease(fleet, router, now);
             }
-            if (now >= router.cutUntil && now >= router.claimAt) {
+            if (now >= router.partitionedUntil && now >= router.claimAt) {
                 claimShares(fleet, router, now, static_cast<int>(random() % 64));
             }
         }
@@ -184,7 +184,7 @@
             }
         }
         const double allowed = allowedIn(fleet, requests, repeats, now);
-        result.most = std::max(result.most, static_cast<double>(repeats.size()) / allowed);
+        result.maxUse = std::max(result.maxUse, static_cast<double>(repeats.size()) / allowed);
     }
     return result;
 }
@@ -195,9 +195,9 @@
 {
     Fleet fleet = fleetOf(8, 0.02, 56);
     for (Router &router : fleet.routers) {
-        router.heard = 1;
+        router.knownRouters = 1;
     }
-    CHECK(play(fleet, seconds(30)).most <= 1);
+    CHECK(simulate(fleet, seconds(30)).maxUse <= 1);
 }
 
 TEST_CASE("a fleet whose routers restart again and again repeats no more than its allowance")
@@ -209,7 +209,7 @@
             next += seconds(3);
         }
     };
-    CHECK(play(fleet, seconds(30)).most <= 1);
+    CHECK(simulate(fleet, seconds(30)).maxUse <= 1);
 }
 
 TEST_CASE("repeats just before a restart and those of the window after it stay within one allowance")
@@ -225,9 +225,9 @@
             std::for_each(own.routers.begin(), own.routers.end(), restart);
         }
     };
-    const Repeats repeats = play(fleet, seconds(30));
+    const Repeats repeats = simulate(fleet, seconds(30));
     CHECK(repeats.taken > 0);
-    CHECK(repeats.most <= 1);
+    CHECK(repeats.maxUse <= 1);
 }
 
 TEST_CASE("a fleet in cuts and restarts, with routers that believe anything, repeats no more than its allowance")
@@ -243,10 +243,10 @@
             restart(router);
             break;
         case 1:
-            router.cutUntil = now + seconds(random() % 30);
+            router.partitionedUntil = now + seconds(random() % 30);
             break;
         case 2:
-            router.heard = 1 + random() % (2 * own.routers.size());
+            router.knownRouters = 1 + random() % (2 * own.routers.size());
             break;
         case 3:
             if (random() % 20 == 0) {
@@ -257,7 +257,7 @@
             break;
         }
     };
-    CHECK(play(fleet, seconds(120), seed).most <= 1);
+    CHECK(simulate(fleet, seconds(120), seed).maxUse <= 1);
 }
 
 TEST_CASE("a calm fleet may use most of its allowance")
@@ -266,7 +266,7 @@
         GENERATE(table<std::size_t, double>({{1, 0.7 * 0.9}, {3, 0.7 * 0.9}, {8, 0.9 * 0.9}, {60, 0.6}}));
     Fleet fleet = fleetOf(routers, 0.02, 56);
     const double allowed = 0.02 * 1000 + 56;
-    CHECK(play(fleet, seconds(40)).most >= (part * 56 + 0.4 * 20) / allowed);
+    CHECK(simulate(fleet, seconds(40)).maxUse >= (part * 56 + 0.4 * 20) / allowed);
 }
 
 TEST_CASE("a share that another router held is used only after a window")
