--- a/godwit/gateway/allowed_regions.h
+++ b/godwit/gateway/allowed_regions.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The regions to which the operators have bound a route or a customer.
+// The regions to which the operators restrict a route or a customer.
 //
-// Pure. Example:
-//   AllowedRegions allowed;               // Anywhere.
+// Pure functions. Example:
+//   AllowedRegions allowed;               // Unrestricted.
 //   restrictTo(allowed, route.allowedRegions);
 //   restrictTo(allowed, customer.allowedRegions);
 //   if (isAllowed(allowed, endpoint.region)) { ... }
@@ -18,15 +18,15 @@
 namespace Godwit
 {
 
-// Unset: anywhere. An empty set: nowhere, when two bounds exclude each other.
+// Unset: unrestricted. An empty set allows no region; it results from restrictions that exclude each other.
 using AllowedRegions = std::optional<std::set<RegionId>>;
 
-// Keeps those that `regions` names too; an empty list binds nothing.
+// Intersects `allowed` with `regions`; an empty list adds no restriction.
 void restrictTo(AllowedRegions &allowed, const std::vector<RegionId> &regions);
 
 bool isAllowed(const AllowedRegions &allowed, const RegionId &region);
 
-// The region of a data centre; empty when it is not among `regions`.
+// Returns the region of a data centre, or an empty id if `regions` does not list the data centre.
 RegionId regionOf(const std::map<DataCentreId, RegionId> &regions, const DataCentreId &dataCentre);
 
 } // namespace Godwit
--- a/godwit/gateway/byte_rate_limiter.h
+++ b/godwit/gateway/byte_rate_limiter.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Bounds what a host sends of one kind, so that its link stays free for what can't wait.
+// Limits the rate at which a host sends one kind of message, so that its link has room for urgent traffic.
 //
-// Pure. Example:
-//   ByteRateLimiter allowance;
-//   if (tryTakeBytes(allowance, {bytesPerSecond(linkMbps) / 2}, message.size(), now)) { send(message); }
+// A leaky bucket. Pure functions. Example:
+//   ByteRateLimiter limiter;
+//   if (tryTakeBytes(limiter, {bytesPerSecond(linkMbps) / 2}, message.size(), now)) { send(message); }
 
 #include "godwit/base/time.h"
 
@@ -16,15 +16,15 @@
 
 struct ByteRateLimit
 {
-    double perSecond = 0;
-    // Sent at once, however low the rate.
+    double perSecond = 0; // Bytes.
+    // Bytes that may be sent at once, regardless of the rate.
     double burst = 256.0 * 1024;
 };
 
 struct ByteRateLimiter
 {
-    double backlog = 0; // Bytes sent ahead of the rate.
-    TimePoint updatedAt; // When `owed` was last brought up to date.
+    double backlog = 0; // Bytes sent in excess of the rate.
+    TimePoint updatedAt; // When `backlog` was last computed.
 };
 
 inline double bytesPerSecond(double linkMbps)
@@ -33,8 +33,8 @@
     return linkMbps * perMegabit;
 }
 
-// Whether a message may be sent now; counts it if so. A message of any size goes once the earlier ones are within the
-// burst.
+// Returns whether a message may be sent now, and counts it if so. A message of any size is admitted once the backlog of
+// the earlier ones is within the burst.
 inline bool tryTakeBytes(ByteRateLimiter &limiter, const ByteRateLimit &rate, std::size_t bytes, TimePoint now)
 {
     const double drained = rate.perSecond * std::max(0.0, toSeconds(now - limiter.updatedAt));
--- a/godwit/gateway/cold_start.cpp
+++ b/godwit/gateway/cold_start.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-// Part of the bounds that is used.
+// Fraction of the bounds that is used; see planColdStart().
 constexpr double UsedFraction = 0.5;
 
-// Each licence may begin a second with one request, so that half of what is allowed is left for a steady rate. 0:
-// nothing is left.
+// Each permit may start a second with one request. Limiting the permits to half of the allowed requests leaves the
+// other half for the steady rate. Returns 0 if nothing would be left for it.
 int permitsFor(double maxRequestsPerSecond)
 {
     const int atLeastOne = maxRequestsPerSecond > 1 ? 1 : 0;
@@ -39,7 +39,7 @@
     if (plan.permits == 0 || usable.none()) {
         return 0;
     }
-    // Spread evenly, since routers hold shares whose numbers follow each other.
+    // Spread the permits evenly, because routers hold shares with consecutive numbers.
     const std::uint64_t first = stableHash(endpoint.value) % LimitShareCount;
     int count = 0;
     for (int i = 0; i < plan.permits; ++i) {
--- a/godwit/gateway/cold_start.h
+++ b/godwit/gateway/cold_start.h
@@ -1,19 +1,19 @@
 #pragma once
 
-// Limits what the fleet sends to an endpoint that is cold: one that has started lately, or lost its warm state, and
-// crashes when it gets many requests at once.
+// Limits the request rate that the whole fleet sends to a cold endpoint: one that has recently started, or has lost its
+// warm state, and crashes under many simultaneous requests.
 //
-// Each router sees an idle endpoint and would send it all that it has, so a limit of each router alone doesn't bound
-// the fleet. A hash gives each endpoint a few of the fleet's shares (limit_shares.h); the routers that hold these send
-// at a steady rate, and the others leave the endpoint alone until it is warm.
+// A cold endpoint looks idle to every router, so a limit per router would not bound the fleet. Instead, a hash maps
+// each endpoint to a few of the fleet's shares (limit_shares.h), called its permits. Routers that hold these shares
+// send at a steady rate; all others do not use the endpoint until it is warm.
 //
-// Pure: time is passed in.
+// Pure functions: time is passed in.
 //
 // Example:
 //   const ColdStartPlan plan = planColdStart(limit, bounds);
-//   const int licences = countPermits(plan, endpoint, usableShares(shares, now, uptime));
-//   if (!isCold(state, now) || maySendWhileCold(state, licences, now)) { ... a candidate ... }
-//   recordColdSend(state, plan, licences, now);
+//   const int permits = countPermits(plan, endpoint, usableShares(shares, now, uptime));
+//   if (!isCold(state, now) || maySendWhileCold(state, permits, now)) { ... a candidate ... }
+//   recordColdSend(state, plan, permits, now);
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -22,41 +22,41 @@
 namespace Godwit
 {
 
-// What the endpoints of one service bear while they are cold.
+// Load that an endpoint of one service can take while it is cold.
 struct ColdStartLimit
 {
-    double requestsPerSecond = 0; // 0: as many as when they are warm.
-    Duration duration{}; // From a start, or from the loss of the warm state.
+    double requestsPerSecond = 0; // 0: no limit.
+    Duration duration{}; // How long an endpoint is cold after a start or after the loss of its warm state.
 };
 
 // How far the fleet may exceed the limit within one second.
 struct ColdStartBounds
 {
     double overrun = 1; // Multiple of the limit.
-    double slack = 0; // Requests besides.
+    double slack = 0; // Additional requests.
 };
 
 struct ColdStartPlan
 {
-    double maxRequestsPerSecond = 0; // Requests to one cold endpoint within any second.
-    int permits = 0; // Shares whose holders send to one endpoint; 0: none does.
+    double maxRequestsPerSecond = 0; // Upper bound for one cold endpoint within any second.
+    int permits = 0; // Number of shares whose holders may send to one endpoint; 0: none may.
 };
 
 struct ColdState
 {
     TimePoint until;
-    TimePoint nextSendAt; // Of this router.
+    TimePoint nextSendAt; // Earliest time of the next request from this router.
 };
 
-// Takes half of what the bounds allow, since requests that were sent over more than a second may arrive within one.
+// Uses half of what the bounds allow, because requests sent over more than a second may arrive within one second.
 ColdStartPlan planColdStart(const ColdStartLimit &limit, const ColdStartBounds &bounds);
 
 bool isCold(const ColdState &state, TimePoint now);
 
-// How many of the endpoint's licences are among the shares that this router may use.
+// Returns how many of the endpoint's permits are among the shares that this router may use.
 int countPermits(const ColdStartPlan &plan, const EndpointId &endpoint, const ShareSet &usable);
 
-// Whether this router is one of the endpoint's senders, and its next request is due.
+// Whether this router holds a permit for the endpoint and its next request is due.
 bool maySendWhileCold(const ColdState &state, int permits, TimePoint now);
 
 void recordColdSend(ColdState &state, const ColdStartPlan &plan, int permits, TimePoint now);
--- a/godwit/gateway/connection_pause.cpp
+++ b/godwit/gateway/connection_pause.cpp
@@ -8,9 +8,9 @@
 {
 
 constexpr Duration RateInterval = std::chrono::milliseconds(500);
-// What is left of the rate after another counting time.
+// Factor by which the maximum rate decays per interval.
 constexpr double RateDecay = 0.85;
-// A queue may have emptied or grown since.
+// The queue may have drained or grown since an older measurement.
 constexpr Duration LagValidity = std::chrono::seconds(1);
 
 bool isOverloaded(const ConnectionPauseState &pauses, const ConnectionPauseOptions &options)
--- a/godwit/gateway/connection_pause.h
+++ b/godwit/gateway/connection_pause.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// When a host that gets more than it can carry takes no new connections for a moment.
+// Decides when an overloaded host briefly stops accepting connections.
 //
-// Some callers keep to one host whatever they are told. What they send fills its link even where each request is
-// refused, so that a queue of seconds stands before the host; the routers' own messages wait in it as well, and the
-// host serves nothing in time. A connection that is not taken costs the link two small packets: the queue empties, and
-// the callers hear at once that they have to go elsewhere.
+// Some callers stay with one host even though others are advertised. Their requests saturate its link even if each one
+// is refused, and a queue of several seconds builds up in front of the host. Messages between routers wait in the same
+// queue, and the host serves nothing in time. A refused connection costs the link only two small packets, so the queue
+// drains, and callers learn immediately that they have to use another host.
 //
-// Pure. Example:
+// Pure functions: time is passed in. Example:
 //   recordRequestCount(pauses, counters.requests, now);
-//   noteLag(pauses, lag, now);
+//   recordMessageLag(pauses, lag, now);
 //   if (const auto pause = computePause(pauses, isBehind, options, now)) { listener.pause(*pause); }
 
 #include "godwit/base/time.h"
@@ -22,44 +22,46 @@
 
 struct ConnectionPauseOptions
 {
-    double capacity = 0; // Requests a second that the host can take.
-    // Hosts are planned to be loaded up to this part of their capacity. Below it what is late has another cause, such
-    // as a process that stood still, and callers would be turned away for nothing.
+    double capacity = 0; // Requests per second that the host can serve.
+    // Fraction of the capacity from which a host counts as overloaded. Hosts are planned to be loaded up to it; below
+    // it lag has another cause, such as a suspended process, and refusing callers would not help.
     double overloadUtilization = 0.5;
-    // Messages of other routers that come so late show a queue before this host.
+    // Messages from other routers with this much lag indicate a queue in front of this host.
     Duration lagThreshold = std::chrono::milliseconds(150);
-    // From this lag on connections end after their answers, so that a pause also holds for those callers.
+    // From this lag on, connections are closed after each response, so that a pause also affects their callers.
     Duration closeConnectionsLag = std::chrono::milliseconds(60);
-    // A pause is longer than the lag by this factor: what has been sent since still comes.
+    // Ratio of pause to lag; more than 1 because requests sent meanwhile are still in the queue.
     double drainFactor = 1.5;
+    // Pause of a host that refuses all requests because its copies are stale.
     Duration stalePause = std::chrono::seconds(1);
-    // A host that says that it is ready has to take connections every few seconds.
+    // A host that reports itself ready has to accept connections every few seconds.
     Duration maxPause = std::chrono::milliseconds(1500);
+    // Shortest time between two pauses.
     Duration minInterval = std::chrono::milliseconds(100);
 };
 
 struct ConnectionPauseState
 {
-    Duration lag{}; // As last seen, at `lagMeasuredAt`.
+    Duration lag{}; // Latest measurement, taken at `lagMeasuredAt`.
     TimePoint lagMeasuredAt;
     TimePoint pausedUntil; // End of the last pause.
     TimePoint countedAt;
-    std::uint64_t countedRequests = 0; // Requests up to then.
+    std::uint64_t countedRequests = 0; // Total requests up to `countedAt`.
     double requestsPerSecond = 0;
 };
 
-// Takes the number of requests since the start of the process. The highest rate of the last moments counts: during a
-// pause hardly any come.
+// Updates the request rate from the number of requests since the process started. The rate is a decaying maximum,
+// because hardly any requests arrive during a pause.
 void recordRequestCount(ConnectionPauseState &pauses, std::uint64_t requests, TimePoint now);
 
-// Takes how late another router's message was.
+// Records the lag of a message from another router.
 void recordMessageLag(ConnectionPauseState &pauses, Duration lag, TimePoint now);
 
-// Whether connections should end after their answers.
+// Whether connections should be closed after their responses.
 bool shouldCloseConnections(const ConnectionPauseState &pauses, const ConnectionPauseOptions &options, TimePoint now);
 
-// For how long the host should take no connections from now on; nullopt when it should go on. `behind`: it refuses all
-// requests until its copies are new again.
+// Returns for how long the host should accept no connections from `now` on, or nullopt to keep accepting. `stale`: the
+// host refuses all requests until its copies are up to date again. Records the pause in `pauses`.
 std::optional<Duration> computePause(ConnectionPauseState &pauses,
                                      bool stale,
                                      const ConnectionPauseOptions &options,
--- a/godwit/gateway/copy_freshness.h
+++ b/godwit/gateway/copy_freshness.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// Whether a copy of what the platform keeps is as new as those of the other routers.
+// Tracks whether a local copy of the platform's data is as recent as the copies of the other routers.
 //
-// News travels over links that can be full: it may come seconds late while everything else looks sound, and a router
-// can't tell that by what it has received. So it asks others, and goes by the time of the question.
+// Updates travel over links that can be saturated. They may be seconds late while everything else works, and a router
+// cannot detect this from what it has received. It therefore polls other routers, and dates each response by the time
+// of the request.
 //
-// Pure. Example:
-//   noteAnswer(agreement, asked, newerFor, now);
-//   if (isStale(agreement, options, now)) { ... refuse what the copy decides ... }
+// Pure functions: time is passed in. Example:
+//   recordPeerState(freshness, askedAt, peerAheadFor, now);
+//   if (isStale(freshness, options, now)) { ... refuse requests that depend on the copy ... }
 
 #include "godwit/base/time.h"
 
@@ -18,26 +19,26 @@
 
 struct CopyFreshness
 {
-    TimePoint lastResponseAt; // When the last answer came.
-    TimePoint currentAsOf; // Up to this moment the copy held all that another router did.
-    TimePoint peerConfirmedAt; // When a reading of another router was heard that had found no more than the copy holds.
+    TimePoint lastResponseAt; // Arrival of the last response from a peer.
+    TimePoint currentAsOf; // Latest time at which the copy held everything that another router held.
+    TimePoint peerConfirmedAt; // When a peer last reported a read of the store that matched the copy.
 };
 
 struct FreshnessOptions
 {
-    // A copy may be this much older than another router's. Answers come twice a second, and the bound on the use of
-    // removed entries is 2 s.
+    // How much older than a peer's copy this one may be. Responses arrive twice per second, and removed entries must
+    // not be used for longer than 2 s.
     Duration maxStaleness = std::chrono::milliseconds(1200);
-    // A router that has not been answered for longer is cut off, or has had nothing to ask for: it serves what it can
-    // reach.
+    // Without a response for longer than this, the router is either partitioned or had no reason to poll. It then keeps
+    // serving what it can reach.
     Duration responseValidity = std::chrono::milliseconds(1500);
-    // Longer than the gap between two readings, which a calm router hears of, and no longer than a change of the
-    // document may take to be in force.
+    // Longer than the gap between two reads of the store, which an undisturbed router is notified of, and not longer
+    // than a change of the document may take to come into force.
     Duration confirmationValidity = std::chrono::seconds(2);
 };
 
-// A peer was asked at `asked`, and had held changes that this copy lacks for `newerFor`. Zero says no more than that
-// the peer holds nothing newer, since it may be old itself.
+// Records the response of a peer that was polled at `askedAt` and had held changes missing from this copy for
+// `peerAheadFor`. Zero only means that the peer holds nothing newer: its copy may be stale as well.
 inline void recordPeerState(CopyFreshness &freshness, TimePoint askedAt, Duration peerAheadFor, TimePoint now)
 {
     freshness.lastResponseAt = now;
@@ -46,26 +47,26 @@
         peerAheadFor > Duration::zero() ? currentUntil : std::max(freshness.currentAsOf, currentUntil);
 }
 
-// This router has read everything itself, beginning at `began`.
+// Records that this router has read everything from the store, starting at `startedAt`.
 inline void recordFullRead(CopyFreshness &freshness, TimePoint startedAt)
 {
     freshness.currentAsOf = std::max(freshness.currentAsOf, startedAt);
 }
 
-// Another router has told of a reading that found what this copy holds.
+// Records that a peer has read the store and found the same state as this copy.
 inline void recordMatchingPeerRead(CopyFreshness &freshness, TimePoint now)
 {
     freshness.peerConfirmedAt = now;
 }
 
-// Whether the copy has lately been shown to be current. Where it has not, what it lacks may exist: this router can be
-// cut off, or what it should know waits on its link.
+// Whether the copy was recently shown to be current. Otherwise, an entry that is missing from the copy may exist: the
+// router may be partitioned, or updates may be queued on its link.
 inline bool isConfirmedCurrent(const CopyFreshness &freshness, const FreshnessOptions &options, TimePoint now)
 {
     return now < std::max(freshness.currentAsOf, freshness.peerConfirmedAt) + options.confirmationValidity;
 }
 
-// By the last answer, since between answers nothing is known.
+// Whether the copy was too old at the last response of a peer. Between responses its age is unknown.
 inline bool isStale(const CopyFreshness &freshness, const FreshnessOptions &options, TimePoint now)
 {
     return now < freshness.lastResponseAt + options.responseValidity
--- a/godwit/gateway/crash_detector.h
+++ b/godwit/gateway/crash_detector.h
@@ -1,15 +1,16 @@
 #pragma once
 
-// Which requests were under way at an endpoint when their connections ended, until it is known whether it has died.
+// Collects attempts whose connections to an endpoint broke, until it is known whether the endpoint has crashed.
 //
-// A connection that ends proves no death: the endpoint's others go on. A port that refuses does, and so does another
-// endpoint at the same address, if later. An endpoint that leaves, or is listed no more, ends as planned.
+// A broken connection alone does not prove a crash, because the endpoint's other connections may continue. A port that
+// refuses connections does, and so does, later, another endpoint that is listed with the same address. Endpoints that
+// are draining or no longer listed end as planned.
 //
-// Pure: time is passed in.
+// Pure functions: time is passed in.
 //
 // Example:
-//   if (recordInterruption(watch, endpoint, run, now)) { ...ask the endpoint's port... }
-//   if (const auto death = takeCrash(watch, endpoint.id)) { ...its runs were under way... }
+//   if (recordInterruption(detector, endpoint, attempt)) { ... probe the endpoint's port ... }
+//   if (const auto crash = takeCrash(detector, endpoint.id)) { ... crash->attempts were in flight ... }
 
 #include "godwit/base/time.h"
 #include "godwit/gateway/endpoint_table.h"
@@ -25,18 +26,19 @@
 
 struct CrashDetectorOptions
 {
-    // An endpoint that starts at once accepts again before its port is asked; its new entry comes within this time.
+    // A quickly restarted endpoint accepts connections again before its port is probed. Its new entry in the list is
+    // expected within this time.
     Duration replacementTimeout = std::chrono::seconds(8);
     std::size_t maxAttemptsPerEndpoint = 256;
 };
 
-// One run that ended with its connection.
+// An attempt whose connection broke.
 struct InterruptedAttempt
 {
-    std::uint64_t fingerprint = 0;
+    std::uint64_t fingerprint = 0; // Of the request; see request_identity.h.
     TimePoint sentAt;
     TimePoint interruptedAt;
-    bool trial = false; // Of a request that is tried by itself.
+    bool trial = false; // A suspect request was run in isolation.
 };
 
 struct EndpointInterruptions
@@ -45,8 +47,8 @@
     std::string service;
     std::string address;
     DataCentreId dataCentre;
-    bool probing = false; // Its port has been asked and has not answered.
-    TimePoint probedSince; // The first cut that the open or latest question is about.
+    bool probing = false; // A probe of its port is in flight.
+    TimePoint probedSince; // The first interruption covered by the current or latest probe.
     std::vector<InterruptedAttempt> attempts;
 };
 
@@ -56,22 +58,25 @@
     std::map<EndpointId, EndpointInterruptions> interruptions;
 };
 
-// Returns whether the endpoint's port is to be asked now; an open question serves this cut as well.
+// Records an interrupted attempt. Returns whether the endpoint's port has to be probed now; a probe in flight covers
+// this attempt as well.
 bool recordInterruption(CrashDetector &detector, const ListedEndpoint &endpoint, const InterruptedAttempt &attempt);
 
-// The endpoint's port refuses: it has died, with the runs that were cut since its port was asked.
+// Call when the endpoint's port refuses connections: the endpoint has crashed. Removes and returns its entry with the
+// attempts that were interrupted since `probedSince`.
 std::optional<EndpointInterruptions> takeCrash(CrashDetector &detector, const EndpointId &endpoint);
 
-// The endpoint's port accepts, or doesn't answer. Returns the trials among the runs that were asked for.
+// Call when the endpoint's port accepts connections or the probe timed out. Returns those of the endpoint's attempts
+// that are trials, once.
 std::vector<InterruptedAttempt> recordNoCrash(CrashDetector &detector, const EndpointId &endpoint);
 
-// Endpoints whose address another one has now, with the runs that were cut last. Forgets cuts that are too old to be
-// explained.
+// Removes and returns the endpoints whose address now belongs to another endpoint, with the attempts interrupted since
+// `probedSince`. Also drops entries that are older than `replacementTimeout`.
 std::vector<EndpointInterruptions> takeReplacedEndpoints(CrashDetector &detector,
                                                          const std::vector<ListedEndpoint> &listed,
                                                          TimePoint now);
 
-// A request was answered whole, so that none of its cuts was its doing.
+// Call when a request has received a complete response: it caused none of its interruptions.
 void forgetInterruptionsOf(CrashDetector &detector, std::uint64_t fingerprint);
 
 } // namespace Godwit
--- a/godwit/gateway/endpoint_table.cpp
+++ b/godwit/gateway/endpoint_table.cpp
@@ -19,7 +19,7 @@
     return !isTried(query, endpoint.listed.id) && isAllowed(query.regions, endpoint.listed.region);
 }
 
-// A cold endpoint gets requests from a few routers only, at a bounded rate.
+// A cold endpoint receives requests from a few routers only, at a limited rate.
 bool isThrottledWhileCold(const EndpointTable &table,
                           const ColdStartPlan *plan,
                           const EndpointState &endpoint,
@@ -35,7 +35,7 @@
     return found == table.coldPlans.end() ? nullptr : &found->second;
 }
 
-// Those that may be used now: the ones not avoided, or all when every one is.
+// Returns the endpoints that are not in backoff, or all if every one is.
 std::vector<EndpointState *> candidates(EndpointTable &table, const ChoiceQuery &query, TimePoint now)
 {
     std::vector<EndpointState *> healthy;
@@ -55,20 +55,20 @@
     return healthy.empty() ? avoided : healthy;
 }
 
-// How much more an endpoint costs whose attempts lately failed.
+// Cost factor for endpoints whose recent attempts failed.
 double failurePenalty(const EndpointState &endpoint)
 {
     constexpr double weight = 4;
     return 1.0 + weight * endpoint.failureRate;
 }
 
-// What an attempt costs at a plain service: the requests that this router has there.
+// Cost of an attempt at a plain service, based on the requests that this router has in flight there.
 double loadCost(const EndpointState &endpoint)
 {
     return (1.0 + endpoint.inFlight) * failurePenalty(endpoint);
 }
 
-// The usual place of a shared part: the same for all routers without a word between them.
+// The preferred engine for a shared prefix, by rendezvous hashing: the same on all routers without coordination.
 const EndpointState *preferredEndpoint(const std::vector<EndpointState *> &from, std::string_view prefix)
 {
     const EndpointState *best = nullptr;
@@ -111,8 +111,9 @@
     return query.promptTokens - (cached ? query.sharedTokens : 0);
 }
 
-// What sending the prompt there costs, in milliseconds: the time to its first event, more if that comes late, and what
-// reading a shared part again costs those that come next. `kept`: the engine keeps the shared part.
+// Cost of sending the prompt to an engine, in milliseconds: the time to its first event, with a surcharge if that is
+// late, and the delay for subsequent requests if the shared prefix is prefilled again. `cached`: the engine has the
+// prefix.
 double prefillCost(const EndpointState &endpoint,
                    const PrefillSpeed &speed,
                    const ChoiceQuery &query,
@@ -133,7 +134,7 @@
     return cost * failurePenalty(endpoint);
 }
 
-// The engine where the prompt costs least. `from` is not empty.
+// Selects the engine with the lowest cost. `from` is not empty.
 Choice chooseByPrefillCost(EndpointTable &table,
                            const std::vector<EndpointState *> &from,
                            const ChoiceQuery &query,
@@ -147,13 +148,13 @@
     Choice best;
     double bestCost = 0;
     for (std::size_t i = 0; i < from.size(); ++i) {
-        // Begins at a random place, so that routers that see the same loads choose differently.
+        // Start at a random index, so that routers with the same view of the load select different endpoints.
         EndpointState &endpoint = *from[(random + i) % from.size()];
         const bool isPreferred = preferred != nullptr && preferred == &endpoint;
         const bool cached = isPreferred || (recent != nullptr && *recent == endpoint.listed.id);
         double cost = prefillCost(endpoint, speed, query, options, cached, now);
         if (endpoint.listed.dataCentre != query.dataCentre) {
-            cost += 0.01; // Between equal ones the nearer.
+            cost += 0.01; // Tie-breaker: prefer the own data centre.
         }
         if (best.endpoint == nullptr || cost < bestCost) {
             best = Choice{&endpoint, countUncachedTokens(query, cached)};
@@ -171,11 +172,11 @@
     EndpointState *best = nullptr;
     double bestCost = 0;
     for (std::size_t i = 0; i < from.size(); ++i) {
-        // Begins at a random place, so that routers that see the same loads choose differently.
+        // Start at a random index, so that routers with the same view of the load select different endpoints.
         EndpointState *endpoint = from[(random + i) % from.size()];
         double cost = loadCost(*endpoint);
         if (endpoint->listed.dataCentre != query.dataCentre) {
-            cost += 0.01; // Between equal ones the nearer.
+            cost += 0.01; // Tie-breaker: prefer the own data centre.
         }
         if (best == nullptr || cost < bestCost) {
             best = endpoint;
@@ -300,7 +301,7 @@
         endpoint.backoffUntil = now + options.shedBackoff;
         return;
     case AttemptFeedback::Failed:
-        // Answers that fail now and then are no reason to leave an endpoint; the rate speaks.
+        // Occasional error responses do not justify a backoff; `failureRate` raises the cost of the endpoint instead.
         endpoint.failureRate += options.ewmaWeight * (1.0 - endpoint.failureRate);
         return;
     case AttemptFeedback::Unreachable:
--- a/godwit/gateway/endpoint_table.h
+++ b/godwit/gateway/endpoint_table.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// Choosing an endpoint: who is listed, what it has under way, and how its answers went.
+// Selects endpoints by their load and by the outcomes of recent attempts.
 //
-// A model engine is chosen by when its first event should come: after what it has still to read, and after the prompt
-// itself, less the parts of it that it keeps. A plain service is chosen by the requests that this router has there.
+// Model engines are selected by the expected time to the first event: the prefills queued at the engine plus the
+// prefill of the prompt itself, without the prefix that the engine has cached. Endpoints of plain services are selected
+// by the number of requests that this router has in flight there.
 //
-// Pure: time and random numbers are passed in.
+// Pure functions: time and random numbers are passed in.
 //
 // Example:
 //   replaceEndpoints(table, listed);
@@ -32,53 +33,53 @@
 namespace Godwit
 {
 
-// When an endpoint started, in Unix milliseconds; 0 when it doesn't say. An endpoint may start again under its id: it
-// then knows nothing of what it was sent before.
+// When an endpoint started, in Unix milliseconds; 0 if it does not report it. Tells apart the processes that run one
+// after the other under the same id. A restarted endpoint has lost the requests that were sent to it before.
 using EndpointIncarnation = std::int64_t;
 
 struct ListedEndpoint
 {
     EndpointId id;
     std::string service;
-    std::string address; // "ip:port".
+    std::string address; // As "ip:port".
     DataCentreId dataCentre;
     int slots = 0;
     bool draining = false;
     EndpointIncarnation startedAt = 0;
-    RegionId region; // Of its data centre; empty when the settings don't name it.
-    Duration coldFor{}; // How much longer it was cold when it said so.
-    TimePoint coldUntil; // The same by this router's clock.
-    bool evacuated = false; // The operators want its data centre to get nothing.
+    RegionId region; // Region of the data centre; empty if the settings do not define it.
+    Duration coldFor{}; // Remaining cold period as reported by the endpoint.
+    TimePoint coldUntil; // End of the cold period by this router's clock.
+    bool evacuated = false; // The operators have evacuated its data centre: no new requests.
 };
 
-// How an attempt ended, as far as it speaks of its endpoint.
+// What the outcome of an attempt says about its endpoint.
 enum class AttemptFeedback {
     Good,
-    Shed, // It was full and said so.
-    Failed, // It answered that it failed, or its answer was unusable.
-    Unreachable, // No connection, or one that broke.
-    Slow, // Silent for longer than the answer may take.
-    Neutral, // Says nothing of it: the caller left, or the time was up early.
+    Shed, // Refused because the endpoint is at capacity.
+    Failed, // An error response, or an unusable one.
+    Unreachable, // The connection failed or broke.
+    Slow, // No response within the time that it may take.
+    Neutral, // Nothing: the caller disconnected, or the deadline expired early.
 };
 
 struct EndpointState
 {
     ListedEndpoint listed;
     int inFlight = 0;
-    double failureRate = 0; // Exponential average of Failed, Unreachable and Slow among the last attempts.
+    double failureRate = 0; // Exponential moving average of Failed, Unreachable and Slow among the attempts.
     int consecutiveFailures = 0;
-    TimePoint backoffUntil; // After failures: used only when nobody else is left.
-    EngineLoad load; // Of a model engine.
+    TimePoint backoffUntil; // Used before then only if no other endpoint is available.
+    EngineLoad load; // For model engines.
     ColdState cold;
-    bool delisted = false; // The list no longer names it: no new work.
+    bool delisted = false; // No longer in the list: no new requests.
 };
 
-// One prompt that goes to one engine, as the other routers are told of it.
+// A prompt sent to an engine, as announced to the other routers.
 struct PromptSent
 {
     EndpointId endpoint;
-    Tokens uncachedTokens = 0; // What the engine has to read of it.
-    std::string prefix; // The shared part that the engine then keeps; empty: none.
+    Tokens uncachedTokens = 0; // What the engine has to prefill.
+    std::string prefix; // The shared prefix that the engine then has cached; empty: none.
 };
 
 struct RecentPlacement
@@ -90,80 +91,81 @@
 struct EndpointTable
 {
     std::map<EndpointId, EndpointState> endpoints;
-    std::map<std::string, std::vector<EndpointId>> byService; // Those that may get work.
+    std::map<std::string, std::vector<EndpointId>> byService; // Endpoints that may receive requests.
     std::map<std::string, PrefillSpeed> prefillSpeeds; // By service.
-    std::map<std::string, ColdStartPlan> coldPlans; // By service; only of those whose cold endpoints are limited.
-    ShareSet usableShares; // Of the fleet's limits; up to date where `coldPlans` has any.
-    // Where a shared part of a prompt has lately been sent besides its usual place: the engine keeps it for a while.
-    // By part.
+    std::map<std::string, ColdStartPlan> coldPlans; // By service; only services that limit cold endpoints.
+    ShareSet usableShares; // Shares of the fleet's limits; kept up to date only if `coldPlans` is not empty.
+    // By shared prefix: the engine other than the preferred one to which it was last sent, and which keeps it cached
+    // for a while.
     std::map<std::string, RecentPlacement, std::less<>> recentPlacements;
 };
 
 struct ChoiceOptions
 {
-    // Reading a shared part again where it isn't kept counts as this multiple of its time: it also delays whatever
-    // comes next there.
+    // Cost of prefilling a shared prefix on an engine that has not cached it, as a multiple of its prefill time. More
+    // than 1 because it also delays the requests that follow there.
     double recomputeWeight = 10;
-    // Up to this part of the latency target a later first event costs nobody anything; beyond it each millisecond
-    // counts `latenessWeight` times, since the estimate may be short by as much again.
+    // Up to this fraction of the latency target, the time to the first event counts once. Each millisecond beyond it
+    // counts `latenessWeight` times in addition, because the estimate may be too low by the same amount.
     double toleratedFraction = 0.25;
     double latenessWeight = 4;
-    // A full engine counts as this far behind: between engines that have read all, the emptier one.
+    // Cost of an engine with all slots in use, in proportion for others. Decides between engines without queued
+    // prefills.
     Duration occupancyPenalty = std::chrono::milliseconds(20);
-    // How long an engine is taken to keep a part that this router sent there. Engines keep much longer when they have
-    // room; what is older was most likely asked for elsewhere since.
+    // How long an engine is assumed to keep a prefix that was sent there. Engines with free memory keep prefixes much
+    // longer, but an older prefix was most likely used on another engine since.
     Duration placementTtl = std::chrono::seconds(8);
     std::size_t maxPlacements = 4096;
-    // How long an endpoint is left alone after its first failure in a row; doubles up to the limit.
+    // Backoff after the first of consecutive failures; doubles with each further one up to `maxBackoff`.
     Duration initialBackoff = std::chrono::milliseconds(300);
     Duration maxBackoff = std::chrono::seconds(3);
-    // After a shed: a queue of an endpoint drains a few requests within this time.
+    // Backoff after a shed request: the endpoint's queue drains by a few requests within this time.
     Duration shedBackoff = std::chrono::milliseconds(100);
-    // Weight of the newest attempt in the averages.
+    // Weight of the newest attempt in the moving average of failures.
     double ewmaWeight = 0.1;
 };
 
 struct ChoiceQuery
 {
     std::string service;
-    std::string_view affinity; // The part of the prompt that should meet again at one endpoint; empty: none.
-    Tokens promptTokens = 0; // 0: no model's request.
-    Tokens sharedTokens = 0; // Of the prompt, up to the part named by `affinity`.
-    Duration latencyTarget{}; // What is left of the time within which the first event is worth most.
-    std::vector<EndpointId> tried; // Not these.
-    DataCentreId dataCentre; // This router's own.
-    AllowedRegions regions; // Only endpoints there.
+    std::string_view affinity; // Prefix whose requests should go to the same endpoint; empty: none.
+    Tokens promptTokens = 0; // 0: not a request to a model.
+    Tokens sharedTokens = 0; // Tokens of the prompt that belong to the prefix `affinity`.
+    Duration latencyTarget{}; // Remaining time within which the first event should arrive.
+    std::vector<EndpointId> tried; // Endpoints to exclude.
+    DataCentreId dataCentre; // Of this router.
+    AllowedRegions regions; // Only endpoints in these regions.
 };
 
-// Takes over a new list. Endpoints that it no longer names get no new work; what they have under way goes on. Of an
-// endpoint that has started anew nothing of before is kept: failures of its earlier start would keep requests away
-// from a sound endpoint, and requests that died with it would count as its load for good. Returns those.
+// Applies a new list. Endpoints that are no longer listed receive no new requests; requests in flight continue there.
+// The state of restarted endpoints is reset: failures of the former process would keep requests away from a healthy
+// endpoint, and requests that were lost with it would count as load permanently. Returns the restarted endpoints.
 std::vector<EndpointId> replaceEndpoints(EndpointTable &table, const std::vector<ListedEndpoint> &listed);
 
-// The state of that start of an endpoint, or null when it has gone or started anew since.
+// Returns the state of the given incarnation of an endpoint, or null if it was removed or has restarted since.
 EndpointState *findIncarnation(EndpointTable &table, const EndpointId &id, EndpointIncarnation startedAt);
 
 struct Choice
 {
-    EndpointState *endpoint = nullptr; // Null when the service has none that may get this request now.
-    Tokens uncachedTokens = 0; // What it has to read of the prompt.
-    bool cold = false; // The endpoint is cold, and this is one of the few requests that it gets.
+    EndpointState *endpoint = nullptr; // Null if no endpoint of the service may receive the request now.
+    Tokens uncachedTokens = 0; // Tokens of the prompt that the endpoint has to prefill.
+    bool cold = false; // The endpoint is cold, and the request counts against its limit.
 };
 
-// An endpoint for one attempt. A cold one that is chosen has this router's turn used up.
+// Selects an endpoint for one attempt. If it is cold, the selection counts as a send of this router against its limit.
 Choice chooseEndpoint(
     EndpointTable &table, const ChoiceQuery &query, const ChoiceOptions &options, std::uint64_t random, TimePoint now);
 
-// Another router has sent a prompt to an engine.
+// Records that another router has sent a prompt to an engine.
 void recordRemotePrompt(EndpointTable &table, const PromptSent &prompt, const ChoiceOptions &options, TimePoint now);
 
-// Whether the endpoint may still get a request that it was chosen for.
+// Whether the endpoint may still receive a request for which it was selected.
 bool acceptsNewRequests(const EndpointState &endpoint);
 
-// Whether the endpoint is cold and the fleet limits what it gets.
+// Whether the endpoint is cold and its request rate is limited.
 bool isColdStartLimited(const EndpointTable &table, const EndpointState &endpoint, TimePoint now);
 
-// When the first of the service's endpoints will be warm; unset when one is warm now, or when there is none.
+// Returns when the first endpoint of the service will be warm; unset if one is warm now or the service has no endpoint.
 std::optional<TimePoint> nextWarmAt(const EndpointTable &table, const std::string &service, TimePoint now);
 
 void beginAttempt(EndpointState &endpoint);
--- a/godwit/gateway/engine_load.cpp
+++ b/godwit/gateway/engine_load.cpp
@@ -7,18 +7,18 @@
 namespace
 {
 
-// Prompts shorter than this tell little of the speed: most of their time is the way there and back.
+// The time of shorter prompts is dominated by the network round trip and says little about the speed.
 constexpr Tokens MinInformativeTokens = 500;
-// The estimate follows quicker engines at once and drifts towards slower ones: waits that this router doesn't know of
-// make most observations too long, so the quick ones are the true ones.
+// The estimate adapts to faster observations quickly and drifts slowly towards slower ones. Queueing that this router
+// does not know of lengthens most observations, so the fast ones are the accurate ones.
 constexpr double FasterWeight = 0.3;
 constexpr double DriftPerPrefill = 1.003;
-// Weight of the newest read in an engine's slowness, and the most that one read may say.
+// Weight of the newest prefill in the slowdown of an engine, and the upper bound for one observation.
 constexpr double SlowdownWeight = 0.1;
 constexpr double MaxSlowdown = 8;
-// Shorter expectations than this are lost in the noise of the network.
+// Shorter expected times are within the noise of the network.
 constexpr Duration MinExpectedTime = std::chrono::milliseconds(10);
-// A first event may be so late without a sign that the engine is behind.
+// Delay of a first event that does not yet indicate that the engine is behind.
 constexpr Duration LatenessTolerance = std::chrono::milliseconds(30);
 
 double milliseconds(Duration duration)
@@ -31,7 +31,7 @@
     return Duration(static_cast<Duration::rep>(milliseconds * 1000));
 }
 
-// What was heard of others' sends is taken to be read when its time is over.
+// Prompts announced by other routers are assumed to be finished at their expected time.
 void dropFinishedRemotePrefills(EngineLoad &load, TimePoint now)
 {
     if (now < load.busyUntil) {
@@ -87,7 +87,7 @@
     if (expected < MinExpectedTime) {
         return;
     }
-    // What was expected reckoned with the slowness known so far.
+    // The expected time already includes the current slowdown.
     const double observed = load.slowdown * milliseconds(took) / milliseconds(expected);
     load.slowdown += SlowdownWeight * (std::min(observed, MaxSlowdown) - load.slowdown);
     load.slowdown = std::max(load.slowdown, 1.0);
@@ -100,7 +100,7 @@
     Duration wait = std::max<Duration>(load.busyUntil - now, Duration::zero());
     for (const PendingPrefill &prefill : load.pending) {
         if (prefill.id != 0) {
-            // An event that is overdue says that the engine is behind, at least by so much.
+            // An overdue event shows that the engine is behind by at least this much.
             return wait + std::max<Duration>(now - prefill.expectedAt - LatenessTolerance, Duration::zero());
         }
     }
--- a/godwit/gateway/engine_load.h
+++ b/godwit/gateway/engine_load.h
@@ -1,18 +1,18 @@
 #pragma once
 
-// What a model engine has still to read, as time, and how fast engines of a service read.
+// Estimates the prefill backlog of a model engine as time, and the prefill speed of the engines of a service.
 //
-// An engine reads prompts one after the other, so a short prompt behind one of 50,000 tokens waits a second for its
-// first event while the engine next to it is idle. Counting requests doesn't show that; counting unread tokens does.
-// This router knows its own sends and their first events, and hears from the other routers of their long prompts.
-// What an engine can do is learnt from first events: nothing here is configured for one.
+// An engine prefills prompts sequentially, so a short prompt behind one of 50,000 tokens waits a second for its first
+// event while the next engine is idle. The number of requests does not reveal this; the number of queued tokens does. A
+// router knows its own prompts and their first events, and the other routers announce their long prompts to it. Speeds
+// are learned from first events; nothing is configured per engine.
 //
-// Pure: time is passed in.
+// Pure functions: time is passed in.
 //
 // Example:
 //   beginPrefill(load, speed, id, 6000, now);
-//   const Duration wait = queueDelay(load, now);  // For whoever comes next.
-//   finishPrefill(load, speed, id, now);            // Its first event has come.
+//   const Duration wait = queueDelay(load, now);  // For the next prompt.
+//   finishPrefill(load, speed, id, now);            // The first event has arrived.
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -23,13 +23,13 @@
 namespace Godwit
 {
 
-// Names one send of this router; 0 stands for sends of other routers.
+// Identifies a prompt sent by this router; 0 for prompts of other routers.
 using PrefillId = std::uint64_t;
 
-// How fast the engines of one service read, learnt from the quick ones among them.
+// Prefill speed of the engines of one service, learned from the fastest of them.
 struct PrefillSpeed
 {
-    double millisecondsPerToken = 0; // 0: nothing has been learnt yet.
+    double millisecondsPerToken = 0; // 0: unknown.
 };
 
 struct PendingPrefill
@@ -37,32 +37,33 @@
     PrefillId id = 0;
     Tokens tokens = 0;
     TimePoint sentAt;
-    TimePoint expectedAt; // When its first event should come.
-    bool queuedBehindOthers = false; // Other prompts were before it, so that its time tells no speed.
+    TimePoint expectedAt; // Expected time of the first event.
+    bool queuedBehindOthers = false; // Was queued behind other prompts, so that its duration does not reveal the speed.
 };
 
 struct EngineLoad
 {
-    std::deque<PendingPrefill> pending; // In the order of sending.
-    TimePoint busyUntil; // When all of them should have been read.
-    double slowdown = 1; // How much longer this engine takes than expected, as an average of late.
+    std::deque<PendingPrefill> pending; // Ordered by send time.
+    TimePoint busyUntil; // When all pending prefills are expected to be finished.
+    double slowdown = 1; // Ratio of actual to expected time of this engine, as a moving average; at least 1.
 };
 
-// How long a prompt that is sent now waits until the engine begins to read it.
+// Returns how long a prompt sent now would wait until the engine starts its prefill.
 Duration queueDelay(const EngineLoad &load, TimePoint now);
 
-// How long the engine takes to read so much.
+// Returns how long the engine takes to prefill `tokens`.
 Duration prefillTime(const EngineLoad &load, const PrefillSpeed &speed, Tokens tokens);
 
 void beginPrefill(EngineLoad &load, const PrefillSpeed &speed, PrefillId id, Tokens tokens, TimePoint now);
 
-// Another router has sent a prompt there.
+// Records a prompt that another router has sent to the engine.
 void recordRemotePrefill(EngineLoad &load, const PrefillSpeed &speed, Tokens tokens, TimePoint now);
 
-// The first event of a send has come: it and all before it have been read. Learns from how long it took.
+// Call when the first event of a prompt arrives: the engine has finished it and all prompts before it. Updates the
+// learned speeds.
 void finishPrefill(EngineLoad &load, PrefillSpeed &speed, PrefillId id, TimePoint now);
 
-// The send has ended without an event.
+// Call when an attempt has ended without an event.
 void cancelPrefill(EngineLoad &load, const PrefillSpeed &speed, PrefillId id, TimePoint now);
 
 } // namespace Godwit
--- a/godwit/gateway/entry_hosts.h
+++ b/godwit/gateway/entry_hosts.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// Which hosts callers are told of.
+// Selects the hosts that are advertised to callers.
 //
-// Callers choose among the addresses of an answer by lot, so that each listed host gets the same part of the load,
-// whatever it can take. Where hosts differ much, a host with a tenth of a core and a slow link gets as many requests as
-// one with half a core, chokes, and its callers wait for seconds while the large hosts are idle. So only the large
-// hosts are listed as long as they can carry everything; else all are.
+// Callers pick randomly among the advertised addresses, so each advertised host receives the same share of the load,
+// regardless of its capacity. If hosts differ widely, a host with a tenth of a core and a slow link receives as many
+// requests as one with half a core. It is overloaded, and its callers wait for seconds while the large hosts are idle.
+// Therefore only the large hosts are advertised as long as they can carry the whole load, and all hosts otherwise.
 //
-// Pure. Example:
+// Pure functions. Example:
 //   const double least = minAdvertisedCapacity(hosts, options);
-//   if (host.capacity >= least) { ... list it ... }
+//   if (host.capacity >= least) { ... advertise it ... }
 
 #include "godwit/gateway/allowed_regions.h"
 
@@ -21,38 +21,39 @@
 
 struct EntryHost
 {
-    double capacity = 0; // Requests a second that it can take.
-    double load = 0; // Requests a second that it lately got.
+    double capacity = 0; // Requests per second that it can serve.
+    double load = 0; // Requests per second that it recently received.
 };
 
 struct EntryHostOptions
 {
-    // Processor time of one request with all its events, and bytes that it moves over the host's link both ways, both
-    // measured at a router that served a usual mix: 1 ms, and some 9 KB each way.
+    // Processor time of one request with all its events, and the bytes that it moves over the host's link in both
+    // directions. A typical mix of requests takes 1 ms and about 9 KB in each direction.
     double coreSecondsPerRequest = 0.001;
     double linkBytesPerRequest = 20'000;
-    // Hosts are of one kind when the smaller has at least this part of the larger's capacity.
+    // Hosts belong to the same size class if the smaller has at least this fraction of the larger one's capacity.
     double sameClassRatio = 0.5;
-    // Hosts are planned to be loaded up to this part of their capacity, so that a burst of 1.5 times and the loss of
-    // some of them still fit.
+    // Planned load as a fraction of the capacity. Leaves room for a burst of 1.5 times the load and the loss of some
+    // hosts.
     double targetUtilization = 0.5;
 };
 
-// Requests a second that a host with these limits can take.
+// Requests per second that a host with these limits can serve.
 double requestCapacity(double cores, double linkMbps, const EntryHostOptions &options);
 
-// The least capacity that a listed host has. All hosts of the largest kind are listed.
+// Returns the lowest capacity of an advertised host. All hosts of the largest size class are advertised.
 double minAdvertisedCapacity(std::vector<EntryHost> hosts, const EntryHostOptions &options);
 
-// A router that takes requests.
+// A router that accepts requests.
 struct EntryAddress
 {
     std::string address;
     RegionId region;
-    bool advertised = false; // Callers are told of it as long as one of these is left.
+    bool advertised = false; // Preferred over hosts that are not advertised.
 };
 
-// Where a caller should connect: routers in `regions` before all others, and of those the listed ones.
+// Returns the addresses to which a caller should connect: the advertised hosts in `regions`, or else the other hosts
+// there, or else hosts of any region by the same rule.
 std::vector<std::string> addressesForRegions(const std::vector<EntryAddress> &hosts, const AllowedRegions &regions);
 
 } // namespace Godwit
--- a/godwit/gateway/limit_shares.h
+++ b/godwit/gateway/limit_shares.h
@@ -1,19 +1,18 @@
 #pragma once
 
-// Which part of the limits of the whole fleet this router may use, where a limit can't be split by what each router
-// sees.
+// Divides the limits of the whole fleet among the routers, where a limit can't be split by each router's own traffic.
 //
-// All such limits are cut into the same shares. A share is a key of the platform's store that exists under the lease
-// of the router that holds it, so no two routers hold the same one, whatever they believe of each other. A router
-// uses a share only once a window has passed since it was claimed, when what the former holder took no longer counts.
-// It stops using its shares when its lease may have ended by its own reckoning.
+// All such limits are divided into the same fixed number of shares. A share is a key in the platform's store that is
+// bound to the lease of the router that holds it, so no two routers hold the same share, even if they disagree about
+// each other's state. A router starts to use a share only one rate-limit window after claiming it, when the usage of
+// the former holder no longer counts. It stops using its shares when its lease may have expired by its own clock.
 //
-// Pure: time is passed in.
+// Pure functions: time is passed in.
 //
 // Example:
-//   const auto claims = planClaims(shares, options, standing, self, fairShareCount(routers, least), first);
-//   if (written) { addShares(shares, claims, revision, now + handOver); }
-//   const double part = partOf(usableShares(shares, now, uptime));
+//   const auto claims = planClaims(shares, options, stored, self, fairShareCount(routers, least), first);
+//   if (written) { addShares(shares, claims, revision, now + window + options.maxSendDelay); }
+//   const double fraction = fractionOf(usableShares(shares, now, uptime));
 
 #include "godwit/base/time.h"
 
@@ -31,15 +30,15 @@
 
 struct LimitShareOptions
 {
-    // Of one transaction, which has a condition and a change for each and may have 32 of them.
+    // Claims per transaction. Each takes a condition and a change, and a transaction may have 32 of these.
     int maxClaims = 16;
-    // A repeat reaches its endpoint within this time after it was drawn: connecting takes at most 0.4 s, and a process
-    // may be held up meanwhile.
+    // Longest time from drawing a retry from the budget until it reaches its endpoint: connecting takes up to 0.4 s,
+    // and the process may be delayed.
     Duration maxSendDelay = std::chrono::seconds(2);
 };
 
-// The routers that callers are told of, this one included; by their addresses. They get nearly all requests, so that
-// they alone hold shares.
+// The routers that are advertised to callers, including this one, by address. They receive nearly all requests, so only
+// they hold shares.
 struct AdvertisedRouters
 {
     std::string self;
@@ -48,43 +47,46 @@
 
 struct HeldShare
 {
-    std::uint64_t revision = 0; // Of its key.
+    std::uint64_t revision = 0; // Revision of its key in the store.
     TimePoint usableFrom;
 };
 
 struct LimitShares
 {
-    std::uint64_t lease = 0; // 0: none, and nothing is held.
-    Duration leaseUntil{}; // By the uptime of the host, which goes on while the host is suspended.
-    std::map<int, HeldShare> held; // By number.
+    std::uint64_t lease = 0; // 0: no lease, and no shares.
+    Duration leaseUntil{}; // In host uptime, which continues while the host is suspended.
+    std::map<int, HeldShare> held; // By share number.
 };
 
-// A share as the store has it.
+// A share as it exists in the store.
 struct StoredShare
 {
-    std::string holder; // The address that callers reach it by.
+    std::string holder; // Address for callers of the router that holds it.
     std::uint64_t revision = 0;
 };
 
 struct ShareClaim
 {
     int number = 0;
-    std::uint64_t revision = 0; // That its key must have; 0: there must be none.
+    std::uint64_t revision = 0; // Expected revision of its key; 0: the key must not exist.
 };
 
-// The lease stands until `until` at least. Shares under a former lease are gone.
+// Records that the lease is valid until `until` at least. Drops the shares held under a different lease.
 void renewShareLease(LimitShares &shares, std::uint64_t lease, Duration until);
+
+// Drops the lease and all shares.
 void dropShareLease(LimitShares &shares);
 
-// How many shares each of so many routers may claim. `least`: with fewer a router could do nothing; where they don't
-// go round, some routers hold none.
+// Returns how many shares each of `routers` may claim. `least` is the number below which shares are useless to a
+// router; if there are not enough for all, some routers hold none.
 int fairShareCount(std::size_t routers, int least);
 
-// Whether it holds so few that a call of the store is worth it. Small differences stay, so that the death of one
-// router moves no shares of the others.
+// Whether the router holds so few shares that claiming more is worth a request to the store. Small differences are
+// tolerated, so that the crash of one router does not move the shares of all others.
 bool needsShares(const LimitShares &shares, int fair);
 
-// Shares to claim: those that an earlier process of this router left, then free ones from number `first` on.
+// Returns the shares to claim: first those left by a former process of this router, then free ones, starting at number
+// `first`.
 std::vector<ShareClaim> planClaims(const LimitShares &shares,
                                    const LimitShareOptions &options,
                                    const std::map<int, StoredShare> &stored,
@@ -97,13 +99,14 @@
                std::uint64_t revision,
                TimePoint usableFrom);
 
-// Takes out of use what is far more than the router's own part, and returns it for removal from the store.
+// Stops using surplus shares if the router holds twice its fair number or more, and returns them for removal from the
+// store.
 std::vector<ShareClaim> releaseSurplus(LimitShares &shares, const LimitShareOptions &options, int fair);
 
-// The shares that may be used now. `uptime`: of the host.
+// Returns the shares that may be used now. `uptime` is that of the host.
 ShareSet usableShares(const LimitShares &shares, TimePoint now, Duration uptime);
 
-// The part of a limit, from 0 to 1, that these shares are.
+// Returns the fraction of a limit, from 0 to 1, that these shares represent.
 double fractionOf(const ShareSet &shares);
 
 } // namespace Godwit
--- a/godwit/gateway/placement_bench.cpp
+++ b/godwit/gateway/placement_bench.cpp
@@ -1,5 +1,5 @@
-// Compares ways to place requests on model engines, all under the same load in one run: late short and long requests,
-// and shared parts that are read again. Then the processor time of one choice, by the number of engines.
+// Compares policies for placing requests on model engines under the same load: late short and long requests, and shared
+// prefixes that are prefilled again. Also measures the processor time of one selection by the number of engines.
 
 #include "godwit/gateway/testing_engines.h"
 
@@ -39,7 +39,7 @@
     }
 }
 
-// Microseconds of a choice among `engines`, of which each third is cold if `cold` is set.
+// Returns the microseconds per selection among `engines`, of which every third is cold if `cold` is set.
 double choiceCost(int engines, bool cold)
 {
     const TimePoint now{std::chrono::seconds(100)};
--- a/godwit/gateway/prefix_copy.cpp
+++ b/godwit/gateway/prefix_copy.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// The newest revision that the copy knows of `key`, or 0.
+// Returns the highest known revision of `key`, or 0.
 std::uint64_t knownRevision(const PrefixCopy &copy, const std::string &key)
 {
     const auto item = copy.items.find(key);
@@ -23,7 +23,7 @@
     return rendezvousWeight(item.key, std::to_string(item.revision));
 }
 
-// Takes `change` into the digest while `copy` still holds what it replaces.
+// Updates the digest for `change`. Call before the change is applied to the items.
 void updateDigest(PrefixCopy &copy, const StoreItem &change)
 {
     const auto before = copy.items.find(change.key);
@@ -31,7 +31,7 @@
     copy.digest += change.removed ? 0 : weightOf(change);
 }
 
-// Of the latest changes; of a copy that is older than all of these it is enough to know that it is old.
+// Number of changes whose times are kept. For a copy older than all of them, the exact age does not matter.
 constexpr std::size_t MaxChangeTimes = 256;
 
 void updateNewestChange(PrefixCopy &copy, const std::vector<StoreItem> &changes)
@@ -41,7 +41,7 @@
     }
 }
 
-// What turns `before` into `after`. An entry that went counts as removed at `at`.
+// Returns the changes from `before` to `after`. Missing entries count as removed at revision `at`.
 std::vector<StoreItem> difference(const std::map<std::string, StoreItem> &before,
                                   const std::map<std::string, StoreItem> &after,
                                   std::uint64_t at)
--- a/godwit/gateway/prefix_copy.h
+++ b/godwit/gateway/prefix_copy.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// A copy of everything under one prefix of the platform's store, built from snapshots and deltas in any order.
+// Local copy of all entries under one prefix of the platform's store, built from snapshots and deltas in any order.
 //
-// A router gets them from the store and from the other routers, over several connections: they overtake each other and
-// come twice. Each entry carries its revision, and the newer one stands; a removal is remembered until a snapshot
-// covers it, so that a late delta does not bring the entry back.
+// Snapshots and deltas arrive from the store and from other routers over several connections, so they may be reordered
+// and duplicated. Each entry carries its revision, and the highest revision wins. A removal is kept as a tombstone
+// until a snapshot covers it, so that a delayed delta does not restore the entry.
 //
-// Pure. Example:
+// Pure functions. Example:
 //   PrefixCopy copy;
 //   applySnapshot(copy, items, at);
 //   const auto delta = applyDelta(copy, changes);
@@ -27,15 +27,15 @@
 struct PrefixCopy
 {
     std::map<std::string, StoreItem> items; // By key.
-    std::uint64_t digest = 0; // Of the items' keys and revisions; kept with each change, since every message names it.
-    std::map<std::string, std::uint64_t> removed; // Revisions of removals after `completeTo`, by key.
-    // Nothing is missing up to this revision of the store.
+    std::uint64_t digest = 0; // Of the keys and revisions; updated with each change, because every message includes it.
+    std::map<std::string, std::uint64_t> removed; // Tombstones: revisions of removals after `completeTo`, by key.
+    // The copy contains all changes up to this revision of the store.
     std::uint64_t completeTo = 0;
-    std::uint64_t newestChange = 0; // The highest revision of a change that the copy has taken over.
-    bool complete = false; // A snapshot was adopted.
+    std::uint64_t newestChange = 0; // Highest revision of an applied change.
+    bool complete = false; // A snapshot has been applied.
 };
 
-// When a copy took over each of its latest changes, so that the holder of an older copy can be told how old that is.
+// When the latest changes were applied to a copy, so that the holder of an older copy can be told how stale it is.
 struct ChangeTimes
 {
     struct Change
@@ -43,36 +43,36 @@
         std::uint64_t revision = 0;
         TimePoint at;
     };
-    std::deque<Change> changes; // By revision, the oldest first.
+    std::deque<Change> changes; // Ordered by revision.
 };
 
-// Notes that the copy has taken over changes up to `revision`.
+// Records that changes up to `revision` have been applied.
 void noteChange(ChangeTimes &times, std::uint64_t revision, TimePoint now);
 
-// For how long the copy has held a change after `revision`; zero when it holds none.
+// Returns for how long the copy has held a change after `revision`; zero if it holds none.
 Duration timeAheadOf(const ChangeTimes &times, std::uint64_t revision, TimePoint now);
 
-// The revision up to which the copy knows of changes.
+// The highest revision of which the copy knows.
 std::uint64_t newestRevision(const PrefixCopy &copy);
 
-// Takes over a snapshot of revision `at`, except for entries of the copy that are newer, and returns what it changed.
-// A snapshot that is older than the copy changes nothing.
+// Applies a snapshot of revision `at`, except where the copy has newer entries, and returns the resulting changes. A
+// snapshot that is older than the copy changes nothing.
 std::vector<StoreItem> applySnapshot(PrefixCopy &copy, const std::vector<StoreItem> &items, std::uint64_t at);
 
-// Applies what the copy does not have yet, and returns that: of several changes of one entry the newest.
+// Applies the changes that the copy does not have yet. Returns them, only the newest one for each entry.
 std::vector<StoreItem> applyDelta(PrefixCopy &copy, const std::vector<StoreItem> &changes);
 
-// Nothing is missing up to `revision`: the copy equals another one that is complete to it.
+// Records that the copy contains all changes up to `revision`: it equals another copy that does.
 void markComplete(PrefixCopy &copy, std::uint64_t revision);
 
-// Whether the copy holds what came after `revision`. One that does differs from a copy of that revision, and lacks
-// nothing for all that can be seen.
+// Whether the copy holds changes after `revision`. Such a copy differs from one of that revision without necessarily
+// missing anything.
 bool hasNewerThan(const PrefixCopy &copy, std::uint64_t revision);
 
-// Equal for copies with the same keys at the same revisions.
+// Copies with the same keys at the same revisions have equal digests.
 std::uint64_t digestOf(const PrefixCopy &copy);
 
-// The entries as a snapshot.
+// Returns the entries as a snapshot.
 std::vector<StoreItem> itemsOf(const PrefixCopy &copy);
 
 } // namespace Godwit
--- a/godwit/gateway/read_schedule.h
+++ b/godwit/gateway/read_schedule.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// Who reads a prefix of the store again, and when.
+// Schedules full reads of a prefix of the store, and selects the routers that perform them.
 //
-// A few routers, the readers, watch the prefix and tell the others of changes. A watch can fall silent while changes
-// are made, and then go on after them, and a message can be lost. So the readers read everything again in turns: one
-// reads and tells all others what it found, they compare it with their copies, and those that differ ask for a
-// snapshot. A router that hears of no reading reads by itself, so that no loss of messages and no chance makes the gap
-// between two readings longer than `maxReadGap`, and without readers not longer than that and `standby`.
+// A few routers, the readers, watch the prefix and forward changes to the others. A watch can miss changes without an
+// error and resume after them, and messages can be lost. Therefore the readers take turns at reading the whole prefix.
+// After a read, the reader announces its result to all others, which compare it with their copies and request a
+// snapshot on a mismatch. A router without such an announcement reads by itself. This bounds the gap between two reads
+// by `maxReadGap`, independent of lost messages and random delays, and by `standbyDelay` more if there are no readers.
 //
-// Pure. Example:
-//   timer.expires_at(nextReadTime(options, lastHeard, liveRouters, lot));
+// Pure functions: time and random numbers are passed in. Example:
+//   timer.expires_at(nextReadTime(options, lastReadAt, liveRouters, jitter));
 
 #include "godwit/base/time.h"
 
@@ -23,31 +23,34 @@
 
 struct ReadScheduleOptions
 {
-    // More than one, so that the loss of one delays nothing.
+    // More than one, so that the loss of a reader causes no delay.
     int readers = 2;
-    // A change that the watches missed has to be in force within 2 s on small fleets: this and the rest of the gap,
-    // the wait of those that heard, and two readings leave half a second of that.
+    // On small fleets, a change that the watches missed has to be in force within 2 s. This interval, the rest of the
+    // gap, the delay of the notified routers and two reads leave half a second of it.
     Duration interval = std::chrono::milliseconds(700);
-    // Routers whose turns fall within this time of each other read both: a reading takes some 5 ms and a message 1 ms.
+    // Jitter per router. Two routers with less than this between their turns may both read: a read takes about 5 ms and
+    // a message 1 ms.
     Duration spacing = std::chrono::milliseconds(25);
-    // Large fleets, whose changes may take 3 s, have more routers than fit into this.
+    // Upper bound of the jitter. Large fleets, where a change may take 3 s, have more routers than fit into it.
     Duration maxSpread = std::chrono::milliseconds(600);
-    // Routers that are no readers wait this much longer, so that they read only when the readers don't.
+    // Additional delay of routers that are not readers, so that they read only if the readers fail to.
     Duration standbyDelay = std::chrono::milliseconds(600);
 };
 
+// Returns the range over which the routers randomly spread their reads.
 inline Duration readSpreadFor(const ReadScheduleOptions &options, int routers)
 {
     return std::min(options.spacing * std::max(0, routers - 1), options.maxSpread);
 }
 
-// The longest time from one reading that a router has heard of to the next one, its own at the latest.
+// Longest time between a read known to a router and the next one, which the router performs itself at the latest.
 inline Duration maxReadGap(const ReadScheduleOptions &options, int routers)
 {
     return options.interval + readSpreadFor(options, routers);
 }
 
-// Which of the readers a router of this weight is, from 0; unset when it is none. `weights` are those of the others.
+// Returns the rank among the readers, from 0, of a router with weight `own`; unset if it is not a reader. `weights` are
+// those of the other routers.
 inline std::optional<int> readerRank(std::uint64_t own, const std::vector<std::uint64_t> &weights, int readers)
 {
     const auto before = std::count_if(weights.begin(), weights.end(), [own](std::uint64_t weight) {
@@ -56,7 +59,8 @@
     return before < readers ? std::optional(static_cast<int>(before)) : std::nullopt;
 }
 
-// When this router reads unless it hears of another's reading before. `lot` is drawn anew each time, from 0 to 1.
+// Returns when this router reads unless another read is announced before. `jitter` is a new random number for each
+// call, from 0 to 1.
 inline TimePoint nextReadTime(
     const ReadScheduleOptions &options, TimePoint lastReadAt, int routers, double jitter, bool onStandby = false)
 {
--- a/godwit/gateway/request_identity.h
+++ b/godwit/gateway/request_identity.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What makes two requests the same one, whatever attempt, router or connection they come by.
+// Identifies equal requests across attempts, routers and connections.
 //
 // Example:
 //   const auto fingerprint = requestFingerprint({"GET", "desk.example", "/read/1", customer, body});
@@ -18,11 +18,11 @@
     std::string_view method;
     std::string_view host;
     std::string_view target; // Path and query.
-    CustomerId customer; // Another customer's same bytes are another request.
+    CustomerId customer; // Requests of different customers are never equal.
     std::string_view body;
 };
 
-// Equal on every router and version.
+// Returns a hash that is the same on every router and in every version.
 std::uint64_t requestFingerprint(const RequestIdentity &identity);
 
 } // namespace Godwit
--- a/godwit/gateway/request_metadata.h
+++ b/godwit/gateway/request_metadata.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What a caller's request and an endpoint's answer say to the gateway, decoded by the platform's adapter.
+// Metadata of requests and responses that the gateway uses, decoded from the headers by the platform's adapter.
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -14,7 +14,7 @@
 namespace Godwit
 {
 
-// A part of a prompt that several requests may share.
+// A segment of a prompt that several requests may share as part of a common prefix.
 struct PromptSegment
 {
     std::string id;
@@ -23,41 +23,41 @@
 
 struct RequestMetadata
 {
-    std::string attemptId; // Unique for each attempt of a caller; empty when it sent none.
+    std::string attemptId; // Unique for each attempt of a caller; empty if the caller sent none.
     std::string host;
     std::string target; // Path and query as sent.
-    std::string key; // The customer's secret; never sent on.
-    std::optional<Duration> timeLeft; // How long the caller waits from the arrival on.
-    bool declaresTokenCounts = false;
+    std::string key; // The customer's secret; never forwarded.
+    std::optional<Duration> timeLeft; // How long the caller waits, counted from the arrival of the request.
+    bool declaresTokenCounts = false; // Whether `promptTokens` and `maxOutputTokens` are set.
     Tokens promptTokens = 0;
     Tokens maxOutputTokens = 0;
-    std::vector<PromptSegment> promptSegments; // In order; the last one belongs to this request or its session alone.
-    bool resumes = false; // The caller asks for the rest of a stream.
-    std::uint64_t resumeAfter = 0; // The last event that the caller has.
+    std::vector<PromptSegment> promptSegments; // In order; the last one is specific to this request or its session.
+    bool resumes = false; // The caller requests the rest of a stream.
+    std::uint64_t resumeAfter = 0; // Id of the last event that the caller has received.
 };
 
 struct ResponseMetadata
 {
     unsigned status = 0;
-    std::string attemptId; // Which attempt it answers; empty when the endpoint named none.
-    bool notExecuted = false; // The endpoint says that it did not and will not run the request.
-    bool wrongEndpoint = false; // Another endpoint has the address now.
-    bool sealed = false; // Carries the endpoint's proof that the answer is its own.
-    bool closesConnection = false; // The endpoint closes this connection after the answer.
-    std::optional<Duration> keepAlive; // How long the endpoint keeps the connection while it is idle.
+    std::string attemptId; // The attempt to which it responds; empty if the endpoint sent none.
+    bool notExecuted = false; // The endpoint states that it has not executed the request and will not.
+    bool wrongEndpoint = false; // The address now belongs to another endpoint.
+    bool sealed = false; // Carries the endpoint's seal, which proves that the endpoint itself produced the response.
+    bool closesConnection = false; // The endpoint closes the connection after the response.
+    std::optional<Duration> keepAlive; // Idle timeout of the connection at the endpoint.
     std::optional<Duration> retryAfter;
-    ResponseFraming framing = ResponseFraming::Length; // Known to whoever reads the body.
-    bool isEventStream = false; // A series of events, or the endpoint doesn't say what.
+    ResponseFraming framing = ResponseFraming::Length; // Set by the reader of the body.
+    bool isEventStream = false; // The content type is an event stream or missing.
 };
 
-// What the gateway adds to a request on its way to an endpoint.
+// Metadata that the gateway adds to a request when forwarding it to an endpoint.
 struct ForwardMetadata
 {
-    std::string endpoint; // The only one that may run it.
+    std::string endpoint; // The only endpoint that may execute it.
     std::string customer; // Empty on open routes.
     Duration timeLeft{};
     int priority = 5; // 0 is the most urgent, 9 the least.
-    std::optional<std::uint64_t> resumeAfter; // Set when the gateway itself goes on with a stream.
+    std::optional<std::uint64_t> resumeAfter; // Set if the gateway itself resumes a stream after this event.
 };
 
 } // namespace Godwit
--- a/godwit/gateway/response_ending.h
+++ b/godwit/gateway/response_ending.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// How an answer was framed, where and how it ended, and what that says of whether it is whole.
+// How a response was framed and how it ended, and whether it is therefore complete.
 //
-// Pure. Example:
+// Pure functions. Example:
 //   ResponseEnding ending;
 //   ending.framing = ResponseFraming::Connection;
 //   ending.connection = ConnectionEnd::InOrder;
@@ -18,20 +18,20 @@
 namespace Godwit
 {
 
-// What says where an answer's body ends (RFC 9112, section 6.3).
+// How the end of a response body is determined (RFC 9112, section 6.3).
 enum class ResponseFraming {
-    Length, // The length in its head, or a status that allows no body.
-    Chunked, // Its last chunk.
-    Connection, // Nothing but the end of its connection.
+    Length, // By Content-Length, or by a status that allows no body.
+    Chunked, // By the last chunk.
+    Connection, // Only by the close of the connection.
 };
 
 std::string_view responseFramingName(ResponseFraming framing);
 
-// What had become of an answer's connection when the answer ended.
+// State of the connection when the response ended.
 enum class ConnectionEnd {
     Open,
-    Closed, // The sender closed it.
-    Broken, // A reset, or another error.
+    Closed, // Closed by the sender (EOF).
+    Broken, // Reset, or failed with another error.
 };
 
 std::string_view connectionEndName(ConnectionEnd end);
@@ -40,7 +40,7 @@
 {
     ResponseFraming framing = ResponseFraming::Length;
     ConnectionEnd connection = ConnectionEnd::Open;
-    std::optional<StreamPosition> position; // Unset for an answer that is no stream.
+    std::optional<StreamPosition> position; // Unset if the response is not an event stream.
 
     bool operator<(const ResponseEnding &other) const
     {
@@ -48,27 +48,27 @@
     }
 };
 
-// "none" for an answer that is no stream.
+// Returns "none" if the response is not an event stream.
 std::string_view positionName(const ResponseEnding &ending);
 
-// How much of an answer came, by what its sender said of its end.
+// How much of a response was received, judged by how its sender ended it.
 enum class ResponseCompleteness {
-    Declared, // All of it: the sender said so.
-    Inferred, // All of it or a part: its connection ended in order where the answer may end.
-    Truncated, // A part.
+    Declared, // Complete: the framing marks the end.
+    Inferred, // Complete or truncated: the connection was closed cleanly where the response may end.
+    Truncated, // Incomplete.
 };
 
 std::string_view responseCompletenessName(ResponseCompleteness completeness);
 
-// A stream that ends inside an event has been broken off, whatever its framing says, and so has one that ends with its
-// connection before its first event.
+// A stream that ends inside an event is truncated regardless of its framing. So is one that is delimited by the close
+// of its connection and ends before its first event.
 ResponseCompleteness completenessOf(const ResponseEnding &ending);
 
-// How to frame an answer that is passed on, when one of the endpoint's is framed by `received`: an end that the
-// endpoint does not declare can't be declared for it. `otherwise` is the framing for answers whose end is declared.
+// Returns the framing with which to forward a response that the endpoint framed by `received`. If the endpoint does not
+// declare the end, the router must not declare it either. `declaredFraming` is used for responses with a declared end.
 ResponseFraming framingToForward(ResponseFraming received, ResponseFraming declaredFraming);
 
-// Whether an answer that is passed on in this framing may end as a whole one.
+// Whether a response that is forwarded with this framing may be terminated as a complete one.
 bool mayEndAsComplete(ResponseFraming forwarded, ResponseCompleteness completeness);
 
 } // namespace Godwit
--- a/godwit/gateway/retry_budget.cpp
+++ b/godwit/gateway/retry_budget.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// The window is cut into this many slices; the others of the array are spare, so that a window never loses one early.
+// The window is divided into this many slices. The array has spare ones, so that no slice is reused within the window.
 constexpr std::int64_t SlicesInWindow = 14;
 
 std::int64_t sliceNumber(const RetryBudgetOptions &options, TimePoint now)
@@ -52,7 +52,7 @@
             continue;
         }
         decision.retries += slice.retries;
-        // A slice that lies partly before the window counts for repeats only.
+        // A slice that lies partly before the window counts for retries only.
         decision.requests += age < SlicesInWindow ? slice.requests : 0;
     }
     decision.allowedByRequests = options.usedRatioFraction * options.ratio * decision.requests;
--- a/godwit/gateway/retry_budget.h
+++ b/godwit/gateway/retry_budget.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// How many requests of a service may be sent to a second endpoint.
+// The retry budget of a service: how many of its requests may be sent to a second endpoint.
 //
-// The fleet as a whole may repeat a part of a service's requests in any window, and a fixed number besides. Each router
-// takes that part of the requests that it saw itself, for which it needs to know nothing of the others, and of the
-// fixed number what it holds (limit_shares.h). Sends that the endpoint refused count as well.
+// In any window, the fleet as a whole may retry a fraction of the service's requests plus a fixed number (the slack).
+// Each router applies the fraction to its own requests, which needs no coordination, and uses as much of the slack as
+// it holds shares of it (limit_shares.h). Attempts that the endpoint refused count as well.
 //
 // Example:
-//   countRequest(allowance, now);
-//   if (tryTakeRetry(allowance, rules, partOf(usableShares(shares, now, uptime)), now).granted) { sendAgain(); }
+//   countRequest(budget, options, now);
+//   if (tryTakeRetry(budget, options, fractionOf(usableShares(shares, now, uptime)), now).granted) { sendAgain(); }
 
 #include "godwit/base/time.h"
 
@@ -20,17 +20,18 @@
 
 struct RetryBudgetOptions
 {
-    double ratio = 0.2;
-    double slack = 0;
+    double ratio = 0.2; // Retries per request.
+    double slack = 0; // Retries of the whole fleet per window, in addition.
     Duration window = std::chrono::seconds(10);
-    // Half: the repeats of one window may be of requests from it and from the window before, and a process that has
-    // ended can have used up the earlier ones.
+    // Fraction of `ratio` that is used. Half, because the retries of one window may belong to requests of that window
+    // and of the one before, and a former process may already have used the budget of the earlier ones.
     double usedRatioFraction = 0.5;
-    // Not all, since a repeat reaches its endpoint some time after it was drawn.
+    // Fraction of `slack` that is used. Less than 1 because a retry reaches its endpoint some time after it was
+    // granted.
     double usedSlackFraction = 0.9;
 };
 
-// Counts in slices of the window; the newest slice is partly filled.
+// Requests and retries of a sliding window, counted in time slices; the newest slice is incomplete.
 struct RetryBudget
 {
     static constexpr std::size_t Slices = 16;
@@ -43,12 +44,12 @@
     std::array<Slice, Slices> slices;
 };
 
-// How many shares of the fixed number a router needs to repeat a request now and then.
+// Returns the number of shares of the slack that a router needs for occasional retries.
 int minShares(const RetryBudgetOptions &options);
 
 void countRequest(RetryBudget &budget, const RetryBudgetOptions &options, TimePoint now);
 
-// Whether a repeat may be sent, and by which figures of the window.
+// Whether a retry may be sent, and the counts of the window on which the decision is based.
 struct RetryDecision
 {
     bool granted = false;
@@ -58,8 +59,8 @@
     double allowedBySlack = 0;
 };
 
-// Takes one repeat, unless the router's part is used up.
-// `slackFraction`: what this router holds of the fixed number, from 0 to 1.
+// Takes one retry from the budget, unless this router's part is exhausted.
+// `slackFraction`: the fraction of the slack that this router holds, from 0 to 1.
 RetryDecision tryTakeRetry(RetryBudget &budget, const RetryBudgetOptions &options, double slackFraction, TimePoint now);
 
 } // namespace Godwit
--- a/godwit/gateway/route_table.cpp
+++ b/godwit/gateway/route_table.cpp
@@ -59,7 +59,7 @@
     std::string_view path = target.substr(0, target.find_first_of("?#"));
     std::string key = routeKey(normalizeHost(host), path);
     const std::size_t hostLength = key.size() - path.size();
-    // Prefixes begin and end with a slash: only the places of slashes can be the end of one.
+    // Prefixes begin and end with a slash, so only positions of slashes can be the end of one.
     for (auto slash = key.rfind('/'); slash != std::string::npos && slash >= hostLength; slash = key.rfind('/')) {
         key.resize(slash + 1);
         const auto found = table.routes.find(key);
--- a/godwit/gateway/route_table.h
+++ b/godwit/gateway/route_table.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Finds route, service and customer of a request in the document in force.
+// Lookup of the route, service and customer of a request in the current document.
 //
-// Immutable after its making: connections share one table and take a new one with each version.
+// Immutable after construction: connections share one table, which is replaced with each version of the document.
 //
 // Example:
 //   const auto table = makeRouteTable(document);
@@ -22,28 +22,31 @@
 struct RouteTable
 {
     SiteDocument document;
-    // "host prefix" to the index in document.routes.
+    // From "host prefix" to the index in document.routes.
     std::unordered_map<std::string, std::size_t> routes;
     std::unordered_map<std::string, std::size_t> customersByKey;
     std::unordered_map<std::string, std::size_t> services;
-    // By host, where some of its routes are bound to regions: those that all of them allow.
+    // Regions that all region-restricted routes of a host allow, by host. Hosts without such routes are missing.
     std::unordered_map<std::string, AllowedRegions> regionsByHost;
 };
 
 std::shared_ptr<const RouteTable> makeRouteTable(SiteDocument document);
 
-// The route with the longest prefix of the path of `target`, or null. `host` may carry a port and capitals.
+// Returns the route with the longest matching prefix of the path of `target`, or null. `host` may include a port and
+// upper-case letters.
 const GatewayRoute *findRoute(const RouteTable &table, std::string_view host, std::string_view target);
 
-// Where requests to `host` may be taken in, whichever of its routes they use. The host may carry a port and capitals.
+// Returns the regions where requests to `host` may be accepted on any of its routes. `host` may include a port and
+// upper-case letters.
 AllowedRegions regionsOfHost(const RouteTable &table, std::string_view host);
 
-// The customer that holds `key`, or null.
+// Returns the customer with this key, or null.
 const PrepaidCustomer *findCustomer(const RouteTable &table, const std::string &key);
 
 const GatewayService *findService(const RouteTable &table, const std::string &name);
 
-// One of the route's services by weight. Equal for equal `seed`: a repeated attempt goes to the same service.
+// Selects one of the route's services by weight. The result is the same for the same `seed`, so that repeated attempts
+// go to the same service.
 const std::string &pickService(const GatewayRoute &route, std::uint64_t seed);
 
 } // namespace Godwit
--- a/godwit/gateway/site_document.h
+++ b/godwit/gateway/site_document.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// What the operators have put in force, as the gateway works with it.
+// The configuration of the operators, as used by the gateway.
 //
-// The adapter of the platform decodes the operators' own format into these values once; nothing here knows that
-// format. A document is complete: a newer version replaces an older one as a whole.
+// The platform's adapter decodes the operators' format into these types once; nothing here depends on that format. A
+// document is complete: a newer version replaces an older one as a whole.
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -18,11 +18,11 @@
 namespace Godwit
 {
 
-// How often a request may run.
+// How often a request may be executed.
 enum class GatewayRouteKind {
     Idempotent, // Any number of times.
-    NonIdempotent, // Once at most.
-    Streaming, // Once at most, unless the route's streams may be resumed. The answer is a series of events.
+    NonIdempotent, // At most once.
+    Streaming, // At most once, unless the route's streams are resumable. The response is an event stream.
 };
 
 struct WeightedService
@@ -35,39 +35,39 @@
 {
     RouteId name;
     std::string host; // Lower case, without a port.
-    std::string pathPrefix; // Begins and ends with a slash.
+    std::string pathPrefix; // Starts and ends with a slash.
     GatewayRouteKind kind = GatewayRouteKind::NonIdempotent;
-    // The longest that a caller is kept waiting for the end of its answer.
+    // Longest time until the end of the response.
     Duration timeout = std::chrono::seconds(30);
-    // Within this time the answer (of a stream: its first event) is worth most.
+    // Target time until the response, or the first event of a stream.
     Duration latencyTarget = std::chrono::seconds(1);
     int priority = 0; // 0 is the most urgent.
     std::vector<WeightedService> services; // At least one.
-    int maxEndpoints = 1; // On how many endpoints one request may run.
-    bool open = false; // Needs no customer's key.
-    bool cachesPrompts = false; // Requests name the parts of their prompt; keep those together.
-    bool resumable = false; // A stream may go on at another endpoint after its last event.
-    std::vector<RegionId> allowedRegions; // The only ones whose endpoints may run it; empty: all.
+    int maxEndpoints = 1; // Number of endpoints on which one request may be executed.
+    bool open = false; // Requires no customer key.
+    bool cachesPrompts = false; // Requests declare their prompt segments; send equal prefixes to the same endpoint.
+    bool resumable = false; // A stream may be resumed at another endpoint after its last event.
+    std::vector<RegionId> allowedRegions; // Regions whose endpoints may execute its requests; empty: all.
 };
 
-// How a model engine batches, for services that have one.
+// Properties of the model engine of a service.
 struct EngineTraits
 {
-    int slots = 0;
+    int slots = 0; // Requests that run concurrently.
     Tokens cacheTokens = 0;
-    Tokens tokensPerEvent = 1; // Output tokens that one event of a stream holds at most.
+    Tokens tokensPerEvent = 1; // Maximum number of output tokens in one event of a stream.
 };
 
 struct GatewayService
 {
     std::string name;
     std::string healthPath;
-    int maxConnections = 0; // From all callers together; 0: not bounded.
+    int maxConnections = 0; // Of all callers together; 0: unlimited.
     std::optional<EngineTraits> engine;
     ColdStartLimit coldStart;
 };
 
-// What a caller may send, and how long it may take.
+// Limits for what a caller sends, and for how long it takes.
 struct CallerLimits
 {
     std::size_t maxHeaderBytes = 16UL * 1024;
@@ -80,9 +80,9 @@
 {
     CustomerId name;
     std::vector<std::string> keys;
-    std::optional<int> priority; // Goes before the route's priority.
-    std::optional<Tokens> prepaid; // All that the customer may use; absent: not bounded.
-    std::vector<RegionId> allowedRegions; // As of a route; both bind.
+    std::optional<int> priority; // Overrides the priority of the route.
+    std::optional<Tokens> prepaid; // Total that the customer may use; unset: unlimited.
+    std::vector<RegionId> allowedRegions; // As for a route; both restrictions apply.
 };
 
 struct SiteDocument
@@ -91,7 +91,7 @@
     std::vector<GatewayRoute> routes;
     std::vector<GatewayService> services;
     std::vector<PrepaidCustomer> customers;
-    bool keysRequired = false; // The document names customers: requests need a key unless their route is open.
+    bool keysRequired = false; // The document defines customers: requests require a key unless their route is open.
     CallerLimits limits;
 };
 
--- a/godwit/gateway/store_item.h
+++ b/godwit/gateway/store_item.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One entry of the platform's store: a key, its value, and the revision of its last change.
+// An entry of the platform's store: key, value, and the revision of its last change.
 
 #include <cstdint>
 #include <string>
@@ -13,7 +13,7 @@
     std::string key;
     std::string value;
     std::uint64_t revision = 0;
-    bool removed = false; // In changes only.
+    bool removed = false; // The entry was removed; only set in changes.
 };
 
 } // namespace Godwit
--- a/godwit/gateway/testing_engines.cpp
+++ b/godwit/gateway/testing_engines.cpp
@@ -18,7 +18,7 @@
 constexpr Duration RoundTripTime = std::chrono::milliseconds(8);
 constexpr Duration AnnounceDelay = std::chrono::milliseconds(1);
 constexpr Duration AnnounceThreshold = std::chrono::milliseconds(12);
-// How long a request goes on after its first event.
+// Time from the first event to the end of a request.
 constexpr Duration DecodeTime = std::chrono::milliseconds(900);
 constexpr std::size_t LongPrefixes = 140;
 constexpr std::size_t ShortPrefixes = 180;
@@ -233,7 +233,7 @@
     std::mt19937_64 m_random;
     std::vector<Engine> m_engines;
     std::vector<EndpointTable> m_tables;
-    std::set<std::string> m_cachedPrefixes; // Parts that some engine keeps.
+    std::set<std::string> m_cachedPrefixes; // Prefixes cached by at least one engine.
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     PlacementResult m_result;
     PrefillId m_prefills = 0;
--- a/godwit/gateway/testing_engines.h
+++ b/godwit/gateway/testing_engines.h
@@ -1,9 +1,10 @@
 #pragma once
 
-// Simulated model engines under a mixed load, for tests and the benchmark of placement: each engine reads prompts one
-// after the other and keeps the shared parts that it has read.
+// Simulates model engines under a mixed load, for tests and the placement benchmark. Each engine prefills prompts
+// sequentially and caches their shared prefixes.
 //
-// Several routers place requests, each with its own table; they tell each other of long prompts as the real ones do.
+// Several routers place requests, each with its own endpoint table. As in production, they announce long prompts to
+// each other.
 //
 // Example:
 //   const PlacementResult result = simulatePlacement(PlacementLoad{}, Placement::ByPrefillTime);
@@ -17,10 +18,11 @@
 {
 
 enum class Placement {
-    ByPrefillTime, // chooseEndpoint().
-    BoundedAffinity, // The usual place of the shared part, unless it has over 1.25 times the mean requests: as before.
-    LeastInFlight, // Of this router's own requests.
-    TwoChoices, // The less loaded of two by lot.
+    ByPrefillTime, // By chooseEndpoint().
+    BoundedAffinity, // The preferred engine of the shared prefix, unless it has more than 1.25 times the mean number of
+                     // requests.
+    LeastInFlight, // Counts only requests of this router.
+    TwoChoices, // Power of two choices: the less loaded of two random engines.
     RoundRobin,
 };
 
@@ -29,21 +31,21 @@
     std::size_t routers = 7;
     std::size_t engines = 12;
     double tokensPerMillisecond = 62;
-    double longPerSecond = 17; // 12,000 tokens in the mean, up to 60,000; nearly half is shared.
-    double shortPerSecond = 77; // 1,000 tokens in the mean.
+    double longPerSecond = 17; // Long prompts; 12,000 tokens on average, up to 60,000; nearly half is shared.
+    double shortPerSecond = 77; // Short prompts; 1,000 tokens on average.
     Duration target = std::chrono::milliseconds(400);
     Duration length = std::chrono::seconds(30);
-    double slowFraction = 0; // Part of the engines that take four times as long.
+    double slowFraction = 0; // Fraction of the engines that are four times as slow.
     std::uint64_t seed = 1;
 };
 
 struct PlacementResult
 {
     int requests = 0;
-    int shortLate = 0; // Short requests whose first event came after the target.
-    int longLate = 0; // Long ones after twice the target.
-    int shorts = 0;
-    Tokens recomputedTokens = 0; // Shared parts that another engine kept.
+    int shortLate = 0; // Short requests whose first event missed the target.
+    int longLate = 0; // Long requests whose first event missed twice the target.
+    int shorts = 0; // Total of short requests.
+    Tokens recomputedTokens = 0; // Tokens of shared prefixes prefilled although another engine had them cached.
 };
 
 PlacementResult simulatePlacement(const PlacementLoad &load, Placement placement);
--- a/godwit/gateway/value_delta.cpp
+++ b/godwit/gateway/value_delta.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-// A cut falls on average each 128 bytes: a row of a document is some 200, so that a change costs few rows.
+// Average chunk size of 128 bytes. A row of a document has about 200, so a change affects only a few rows.
 constexpr std::uint64_t BoundaryMask = 0x7f;
 constexpr std::size_t MinChunkSize = 32;
 constexpr std::size_t MaxChunkSize = 1024;
-// A number and its frame in a message.
+// Encoded size of a part in a message, apart from its new bytes.
 constexpr std::size_t PartOverhead = 8;
 
-// A value for each byte for the rolling hash, equal in every version (splitmix64).
+// Table of the gear rolling hash: a pseudo-random value per byte (splitmix64), the same in every version.
 constexpr std::array<std::uint64_t, 256> makeGearTable()
 {
     std::array<std::uint64_t, 256> gears{};
@@ -35,7 +35,7 @@
 
 constexpr std::array<std::uint64_t, 256> GearTable = makeGearTable();
 
-// The next piece of `rest`: its end depends on the bytes before it alone.
+// Removes the next chunk from `rest` and returns it. Its end depends only on the bytes before it.
 std::string_view takeChunk(std::string_view &rest)
 {
     std::uint64_t rolling = 0;
@@ -43,7 +43,7 @@
     while (length < rest.size() && length < MaxChunkSize) {
         rolling = (rolling << 1U) + GearTable[static_cast<unsigned char>(rest[length])];
         ++length;
-        // The high bits hold the most bytes.
+        // The high bits depend on the most bytes.
         if (length >= MinChunkSize && ((rolling >> 32U) & BoundaryMask) == 0) {
             break;
         }
--- a/godwit/gateway/value_delta.h
+++ b/godwit/gateway/value_delta.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// A large value as what changed against its previous one.
+// Delta encoding of a large value against its previous version.
 //
-// Both values are cut into pieces at places that their bytes decide, so that an insertion moves no later cut, and a
-// piece that the base has as well is named instead of sent. Works for any bytes.
+// Both values are split by content-defined chunking, so that an insertion does not move later chunk boundaries. Chunks
+// that the base contains as well are referenced instead of transmitted. Works for arbitrary bytes.
 //
-// Pure. Example:
+// Pure functions. Example:
 //   const ValueDelta delta = makeValueDelta(before, after);
 //   if (const auto value = applyValueDelta(before, delta)) { ... }
 
@@ -20,11 +20,11 @@
 
 struct ValueDelta
 {
-    // A part of the new value: bytes of the base, or new ones.
+    // A part of the new value: either a range of the base or new bytes.
     struct Part
     {
         std::uint64_t offset = 0; // In the base.
-        std::uint64_t length = 0; // 0: `bytes` are new.
+        std::uint64_t length = 0; // 0: the part consists of `bytes`.
         std::string bytes;
     };
     std::vector<Part> parts;
@@ -33,10 +33,10 @@
 
 ValueDelta makeValueDelta(std::string_view base, std::string_view value);
 
-// The new value, or nothing when `base` differs from the one that the delta was made for in what it takes from it.
+// Returns the new value, or nullopt if `base` differs from the base of the delta in a range that the delta references.
 std::optional<std::string> applyValueDelta(std::string_view base, const ValueDelta &delta);
 
-// What it takes to send the delta, about.
+// Returns the approximate size of the encoded delta in bytes.
 std::size_t encodedSize(const ValueDelta &delta);
 
 } // namespace Godwit
