--- a/godwit/gateway/cold_start_test.cpp
+++ b/godwit/gateway/cold_start_test.cpp
@@ -37,7 +37,7 @@
     return query;
 }
 
-// Many routers, each with a table of its own, that choose for a load of theirs. Each share has one holder.
+// Several routers, each with its own endpoint table and its own requests. Each share has exactly one holder.
 struct Fleet
 {
     Fleet(int routers, const std::vector<ListedEndpoint> &listed, const ColdStartLimit &limit)
@@ -53,7 +53,8 @@
         }
     }
 
-    // All routers get `perSecond` requests together; returns the most that one endpoint got within any second.
+    // Sends `perSecond` requests in total through all routers. Returns the maximum that each endpoint received within
+    // any second.
     std::map<std::string, std::size_t> mostInSecond(int perSecond, Duration length)
     {
         std::map<std::string, std::deque<TimePoint>> sent;
@@ -85,11 +86,11 @@
 
 } // namespace
 
-TEST_CASE("the routers of a fleet together don't flood an endpoint that comes back cold")
+TEST_CASE("a fleet of any size keeps a cold endpoint within its limit")
 {
-    // Guards against a crash of an endpoint that has just started and looks idle to every router.
+    // Guards against crashing an endpoint that has just started and looks idle to every router.
     const ColdStartLimit limit{17, std::chrono::seconds(3)};
-    constexpr std::size_t bound = 30; // 17 times 1.5, and 5.
+    constexpr std::size_t bound = 30; // 17 times 1.5, plus 5.
     for (const int routers : {1, 6, 87, 400}) {
         const TimePoint warm = Start + std::chrono::seconds(3);
         Fleet fleet(routers, {endpoint("busy"), endpoint("cold", warm)}, limit);
@@ -103,9 +104,9 @@
     }
 }
 
-TEST_CASE("when all endpoints are cold what they can't bear is refused, and callers hear when they are warm")
+TEST_CASE("requests beyond the limit are refused while all endpoints are cold, and nextWarmAt tells until when")
 {
-    // Guards against a crash of all endpoints one after the other when they come back together under full load.
+    // Guards against crashing all endpoints in turn when they restart together under full load.
     const TimePoint warm = Start + std::chrono::seconds(3);
     Fleet fleet(
         20, {endpoint("a", warm), endpoint("b", warm + std::chrono::seconds(1))}, {10, std::chrono::seconds(3)});
@@ -118,14 +119,14 @@
     CHECK_FALSE(nextWarmAt(fleet.tables[0], "another", Start));
 }
 
-TEST_CASE("a warm endpoint takes what it can")
+TEST_CASE("a warm endpoint is not limited")
 {
     Fleet fleet(6, {endpoint("a", Start)}, {17, std::chrono::seconds(3)});
     CHECK(fleet.mostInSecond(400, std::chrono::seconds(2)).at("a") == 400);
     CHECK(fleet.refused == 0);
 }
 
-TEST_CASE("a cold endpoint of a service without a limit is an endpoint like others")
+TEST_CASE("a cold endpoint of a service without a limit is not limited")
 {
     Fleet fleet(6, {endpoint("a", Start + std::chrono::seconds(9))}, {17, std::chrono::seconds(3)});
     for (EndpointTable &table : fleet.tables) {
@@ -134,7 +135,7 @@
     CHECK(fleet.mostInSecond(400, std::chrono::seconds(2)).at("a") == 400);
 }
 
-TEST_CASE("a start that is heard of late never shortens a cold time")
+TEST_CASE("an outdated listing never shortens the cold period")
 {
     EndpointTable table;
     replaceEndpoints(table, {endpoint("a", Start + std::chrono::seconds(3))});
@@ -142,7 +143,7 @@
     CHECK(isCold(table.endpoints.at(EndpointId{"a"}).cold, Start + std::chrono::seconds(2)));
 }
 
-TEST_CASE("limits that leave no room for a steady rate leave cold endpoints alone")
+TEST_CASE("a limit without room for a steady rate yields no permits")
 {
     const EndpointId id{"e"};
     const ShareSet all = ShareSet().set();
@@ -165,7 +166,7 @@
     CHECK_FALSE(maySendWhileCold({}, permits, Start));
 }
 
-TEST_CASE("routers that hear nothing of each other don't flood an endpoint that comes back cold")
+TEST_CASE("routers without contact to each other keep a cold endpoint within its limit")
 {
     const ColdStartLimit limit{17, std::chrono::seconds(3)};
     const TimePoint warm = Start + std::chrono::seconds(3);
--- a/godwit/gateway/connection_pause_test.cpp
+++ b/godwit/gateway/connection_pause_test.cpp
@@ -12,10 +12,10 @@
 constexpr double LinkBytesPerSecond = 1'250'000; // 10 Mbit/s.
 constexpr double RequestBytes = 5700;
 constexpr double RefusedConnectionBytes = 120;
-// What engines, routers and the store send to this host.
+// Traffic from engines, routers and the store to this host.
 constexpr double OtherBytesPerSecond = 200'000;
 constexpr Duration Step = std::chrono::milliseconds(5);
-// A request that has waited longer before the host is not answered in time.
+// Longest queueing time of a request that is still answered in time.
 constexpr Duration InTime = std::chrono::milliseconds(300);
 
 ConnectionPauseOptions smallHost()
@@ -32,8 +32,8 @@
     Duration longestClosed{};
 };
 
-// Callers that keep to one small host: so many requests a second, whatever they are told. All that is on its way when a
-// pause begins is cut.
+// Simulates callers that stay with one small host and keep their request rate regardless of refusals. Requests in
+// transit when a pause begins are lost.
 Outcome simulate(double requestsPerSecond, bool pauses)
 {
     struct Arriving
@@ -81,7 +81,7 @@
     return outcome;
 }
 
-// A host that gets this many requests a second and has just seen this lag.
+// The pause of a host that receives this many requests per second and has just measured this lag.
 std::optional<Duration> pauseOf(double requestsPerSecond, Duration lag, bool stale)
 {
     const TimePoint start{std::chrono::seconds(1)};
@@ -95,16 +95,16 @@
 
 } // namespace
 
-TEST_CASE("a small host that callers keep to serves what its link carries")
+TEST_CASE("an overloaded small host serves what its link can carry")
 {
-    // Guards against a queue of seconds before the host, in which all requests run out of time.
+    // Guards against a queue of several seconds in front of the host, in which all requests time out.
     const Outcome without = simulate(230, false);
     const Outcome with = simulate(230, true);
     CHECK(without.inTime < without.requests / 10);
     CHECK(with.inTime > with.requests / 2);
 }
 
-TEST_CASE("a small host goes on serving through a burst of four times as many requests")
+TEST_CASE("a small host keeps serving during a burst of four times as many requests")
 {
     const Outcome without = simulate(800, false);
     const Outcome with = simulate(800, true);
@@ -112,31 +112,31 @@
     CHECK(with.longestClosed <= smallHost().maxPause);
 }
 
-TEST_CASE("what a link carries is never turned away")
+TEST_CASE("load within the capacity of the link is never refused")
 {
     const Outcome outcome = simulate(150, true);
     CHECK(outcome.inTime >= outcome.requests - 1);
     CHECK(outcome.longestClosed == Duration::zero());
 }
 
-TEST_CASE("a host that is not overloaded takes connections however late messages are")
+TEST_CASE("a host that is not overloaded accepts connections regardless of message lag")
 {
-    // Guards against callers turned away for a process that stood still, or a slow peer.
+    // Guards against refusing callers because of a suspended process or a slow peer.
     constexpr Duration late = std::chrono::seconds(2);
     CHECK(pauseOf(100, late, false));
     CHECK_FALSE(pauseOf(20, late, false));
     CHECK_FALSE(pauseOf(20, late, true));
 }
 
-TEST_CASE("a host that is behind takes no connections for a moment, though no message shows its queue")
+TEST_CASE("a host with stale copies pauses even if no message lag was measured")
 {
     CHECK(pauseOf(100, Duration::zero(), true) == smallHost().stalePause);
     CHECK_FALSE(pauseOf(100, Duration::zero(), false));
 }
 
-TEST_CASE("between two pauses connections are taken")
+TEST_CASE("connections are accepted between two pauses")
 {
-    // Guards against a host that says that it is ready and takes no connection for seconds.
+    // Guards against a host that reports itself ready but accepts no connection for seconds.
     const ConnectionPauseOptions options = smallHost();
     const TimePoint start{std::chrono::seconds(1)};
     ConnectionPauseState pauses;
@@ -151,7 +151,7 @@
     CHECK(computePause(pauses, true, options, now + options.minInterval));
 }
 
-TEST_CASE("connections end after their answers while a queue shows, and only then")
+TEST_CASE("connections are closed after their responses only while lag indicates a queue")
 {
     const ConnectionPauseOptions options = smallHost();
     const TimePoint now{std::chrono::seconds(5)};
--- a/godwit/gateway/crash_detector_test.cpp
+++ b/godwit/gateway/crash_detector_test.cpp
@@ -27,8 +27,8 @@
 
 } // namespace
 
-// Guards against deaths that are seen where a single connection broke.
-TEST_CASE("a cut is a death once the endpoint's port refuses, with the runs of that moment")
+// Guards against reporting a crash when only a single connection broke.
+TEST_CASE("an endpoint has crashed if its port refuses, with the attempts interrupted since the probe")
 {
     CrashDetector detector;
     const ListedEndpoint endpoint = endpointAt("a", "10.0.0.1:80");
@@ -45,7 +45,7 @@
     CHECK_FALSE(takeCrash(detector, endpoint.id));
 }
 
-TEST_CASE("trials whose endpoint lives are handed back once")
+TEST_CASE("trials at an endpoint that did not crash are returned once")
 {
     CrashDetector detector;
     const ListedEndpoint endpoint = endpointAt("a", "10.0.0.1:80");
@@ -54,8 +54,8 @@
     CHECK(recordNoCrash(detector, endpoint.id).empty());
 }
 
-// Guards against endpoints that are back before their port is asked.
-TEST_CASE("another endpoint at the address says that the one before has died")
+// Guards against missing the crash of an endpoint that restarts before its port is probed.
+TEST_CASE("another endpoint at the same address indicates that the former one has crashed")
 {
     CrashDetector detector;
     const ListedEndpoint endpoint = endpointAt("a", "10.0.0.1:80");
@@ -70,7 +70,7 @@
     CHECK(detector.interruptions.empty());
 }
 
-TEST_CASE("what was answered whole is held against no endpoint's end")
+TEST_CASE("a request that was answered completely is not blamed for a crash")
 {
     CrashDetector detector;
     const ListedEndpoint endpoint = endpointAt("a", "10.0.0.1:80");
@@ -79,8 +79,8 @@
     CHECK(detector.interruptions.empty());
 }
 
-// Guards against customers that condemn each other's requests.
-TEST_CASE("a request is the same by method, host, target, customer and body")
+// Guards against one customer's crashes causing another customer's requests to be refused.
+TEST_CASE("requests are identified by method, host, target, customer and body")
 {
     const RequestIdentity base{"GET", "desk.example", "/read/1", CustomerId{"anna"}, "body"};
     const auto same = requestFingerprint(base);
--- a/godwit/gateway/engine_load_test.cpp
+++ b/godwit/gateway/engine_load_test.cpp
@@ -21,8 +21,8 @@
 
 TEST_CASE("short requests don't wait behind long prompts while other engines are idle")
 {
-    // The caller's chat answer begins a second late although most engines are idle. Its router counts requests, and
-    // the one with the fewest is just reading 50,000 tokens that another router has sent.
+    // Guards against a first event that is a second late although most engines are idle. It happens if the router
+    // counts requests and the engine with the fewest is prefilling 50,000 tokens that another router has sent.
     const PlacementResult reading = Testing::simulatePlacement(PlacementLoad{}, Placement::ByPrefillTime);
     const PlacementResult requests = Testing::simulatePlacement(PlacementLoad{}, Placement::LeastInFlight);
     CHECK(reading.shortLate * 100 < reading.shorts);
@@ -30,7 +30,7 @@
     CHECK(reading.recomputedTokens * 3 < requests.recomputedTokens);
 }
 
-TEST_CASE("slow engines get less without being told apart by name")
+TEST_CASE("slow engines receive fewer requests without being configured as slow")
 {
     PlacementLoad load;
     load.slowFraction = 0.25;
@@ -39,7 +39,7 @@
     CHECK(reading.shortLate * 2 < before.shortLate);
 }
 
-TEST_CASE("what waits at an engine is read in order, and a first event says how far it has come")
+TEST_CASE("pending prefills are processed in order, and a first event completes all before it")
 {
     EngineLoad load;
     PrefillSpeed speed = Speed;
@@ -54,7 +54,7 @@
     CHECK(load.pending.empty());
 }
 
-TEST_CASE("an engine whose first event is overdue counts as behind by that much")
+TEST_CASE("an overdue first event adds to the queue delay of the engine")
 {
     EngineLoad load;
     beginPrefill(load, Speed, 1, 1'000, Start);
@@ -63,7 +63,7 @@
     CHECK(queueDelay(load, Start + milliseconds(600)) == Duration::zero());
 }
 
-TEST_CASE("the speed is learnt from the quick reads, and an engine that takes longer is slow")
+TEST_CASE("the speed is learned from the fast prefills, and a slower engine gets a slowdown factor")
 {
     PrefillSpeed speed;
     EngineLoad quick;
--- a/godwit/gateway/entry_hosts_test.cpp
+++ b/godwit/gateway/entry_hosts_test.cpp
@@ -19,16 +19,16 @@
 
 } // namespace
 
-TEST_CASE("small hosts are not listed while the large ones can carry everything")
+TEST_CASE("small hosts are not advertised while the large ones can carry the whole load")
 {
-    // Callers of one host wait for seconds and give up: its link takes 10 Mbit/s, and it gets as many of them as a host
-    // with 200.
+    // Guards against callers that wait for seconds and give up: a host with a link of 10 Mbit/s would receive as many
+    // requests as a host with 200.
     const EntryHostOptions options;
     CHECK(minAdvertisedCapacity(hosts(6, 54, 860), options) == 500);
     CHECK(minAdvertisedCapacity(hosts(6, 54, 1400), options) == 500);
 }
 
-TEST_CASE("all hosts are listed when the large ones are too few, and when all are alike")
+TEST_CASE("all hosts are advertised if there are too few large ones or if all are alike")
 {
     const EntryHostOptions options;
     CHECK(minAdvertisedCapacity(hosts(6, 54, 1700), options) == 60);
@@ -38,16 +38,16 @@
     CHECK(minAdvertisedCapacity({}, options) == 0);
 }
 
-TEST_CASE("a host can take what the scarcer of processor and link allows")
+TEST_CASE("the capacity of a host is limited by the scarcer of processor and link")
 {
     const EntryHostOptions options;
     CHECK(requestCapacity(0.5, 200, options) == Approx(500));
     CHECK(requestCapacity(0.12, 10, options) == Approx(62.5));
 }
 
-TEST_CASE("callers of a bound host are told of routers in its regions, small ones before large ones elsewhere")
+TEST_CASE("callers of a region-restricted host get routers in its regions, even small ones, before others")
 {
-    // Guards against prompts that leave the regions to which the operators have bound their route.
+    // Guards against prompts leaving the regions to which the operators have restricted their route.
     const RegionId east{"east"};
     const RegionId west{"west"};
     const std::vector<EntryAddress> hosts = {
--- a/godwit/gateway/gateway_test.cpp
+++ b/godwit/gateway/gateway_test.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of a host wins")
+TEST_CASE("the route with the longest matching prefix is selected")
 {
     SiteDocument document;
     document.routes = {makeRoute("root", "a.example", "/"),
@@ -70,10 +70,10 @@
     CHECK(routeName(*table, "a.example", "") == "none");
 }
 
-TEST_CASE("no chance of lots and lost messages leaves a prefix unread for longer than the bound")
+TEST_CASE("random delays and lost messages never extend the gap between reads beyond the bound")
 {
-    // A caller gets a key refused that the operators added 3.5 s ago: all watches were deaf at the time, and the turns
-    // of eight routers that read by lot had all fallen on the moment just before the change.
+    // Guards against refusing a key that the operators added 3.5 s ago. It happened when all watches missed the change
+    // and the random read times of eight routers all fell just before it.
     const ReadScheduleOptions options;
     constexpr int routers = 8;
     std::mt19937 random(7);
@@ -97,7 +97,7 @@
     CHECK(maxReadGap(options, 1) == options.interval);
 }
 
-TEST_CASE("services are picked by weight, equally for an equal seed")
+TEST_CASE("services are selected by weight, and the same seed selects the same service")
 {
     GatewayRoute route = makeRoute("r", "h", "/");
     route.services = {{"heavy", 90}, {"light", 10}};
@@ -109,7 +109,7 @@
     CHECK(light == 100);
 }
 
-TEST_CASE("an endpoint that leaves or is gone gets no new work, and what it has under way is kept")
+TEST_CASE("draining and delisted endpoints receive no new requests but keep those in flight")
 {
     EndpointTable table;
     replaceEndpoints(table, threeEndpoints());
@@ -129,10 +129,10 @@
     CHECK(table.endpoints.count(EndpointId{"a"}) == 0);
 }
 
-TEST_CASE("an endpoint that has started anew is taken as new, also by attempts that its earlier start had")
+TEST_CASE("a restarted endpoint is reset, and attempts of its former incarnation no longer find it")
 {
-    // Requests avoid a sound endpoint, or its load seems to fall below nothing: it has crashed with requests under way
-    // and is back under its id, and what was reckoned of its earlier start is carried over.
+    // Guards against avoiding a healthy endpoint, and against a negative load. Both happen if an endpoint crashes with
+    // requests in flight, returns under the same id, and inherits the state of its former process.
     EndpointTable table;
     auto listed = threeEndpoints();
     listed[0].startedAt = 1000;
@@ -152,7 +152,7 @@
     CHECK(findIncarnation(table, EndpointId{"a"}, 2000) == &after);
 }
 
-TEST_CASE("shared prompts meet at one endpoint until it has too much to read")
+TEST_CASE("prompts with a shared prefix go to one endpoint until its prefill backlog is too long")
 {
     EndpointTable table;
     replaceEndpoints(table, threeEndpoints());
@@ -173,12 +173,12 @@
     const Choice second = chooseEndpoint(table, query, options, 77, Start);
     CHECK(second.endpoint != &preferredState);
     CHECK(second.uncachedTokens == 1'500);
-    // It is kept there now as well.
+    // The prefix is now cached there as well.
     CHECK(chooseEndpoint(table, query, options, 5, Start).endpoint == second.endpoint);
     CHECK(chooseEndpoint(table, query, options, 5, Start).uncachedTokens == 1'000);
 }
 
-TEST_CASE("an endpoint that can't be reached is left alone for a while, and used when nobody else is left")
+TEST_CASE("an unreachable endpoint is used during its backoff only if no other is left")
 {
     EndpointTable table;
     replaceEndpoints(table, threeEndpoints());
@@ -196,7 +196,7 @@
     CHECK(chooseEndpoint(table, others, options, 1, Start).endpoint == nullptr);
 }
 
-TEST_CASE("repeats are a share of the requests in the window, and no more")
+TEST_CASE("retries are limited to a fraction of the requests in the window plus the slack")
 {
     RetryBudgetOptions rules;
     rules.slack = 8;
@@ -215,9 +215,9 @@
     CHECK(tryTakeRetry(budget, rules, 1.0 / 8, Start + std::chrono::seconds(13)).granted);
 }
 
-TEST_CASE("a bound request reaches endpoints of its regions only")
+TEST_CASE("a region-restricted request only goes to endpoints in its regions")
 {
-    // Guards against a prompt that is read in a region that its route or customer excludes.
+    // Guards against processing a prompt in a region that its route or customer excludes.
     EndpointTable table;
     auto listed = threeEndpoints();
     listed[0].region = RegionId{"east"};
@@ -235,7 +235,7 @@
     CHECK(chooseEndpoint(table, query, {}, 1, Start).endpoint == nullptr);
 }
 
-TEST_CASE("a host is bound to the regions that all of its bound routes allow")
+TEST_CASE("a host is restricted to the regions that all of its restricted routes allow")
 {
     SiteDocument document;
     document.routes = {makeRoute("free", "a.example", "/"),
@@ -249,9 +249,9 @@
     CHECK_FALSE(regionsOfHost(*table, "b.example"));
 }
 
-TEST_CASE("bytes beyond the burst wait until the rate has paid for them")
+TEST_CASE("bytes beyond the burst are refused until the backlog has drained")
 {
-    // Guards against a link that one kind of message fills.
+    // Guards against one kind of message saturating the link.
     const ByteRateLimit rate{100'000, 1000};
     ByteRateLimiter limiter;
     const TimePoint now{std::chrono::seconds(100)};
--- a/godwit/gateway/prefix_copy_test.cpp
+++ b/godwit/gateway/prefix_copy_test.cpp
@@ -22,7 +22,7 @@
     return StoreItem{key, "", revision, true};
 }
 
-// What the store holds after each of its changes, which are numbered from 1.
+// A random sequence of changes with revisions from 1, and the content of the store after each.
 struct History
 {
     explicit History(unsigned seed)
@@ -58,10 +58,11 @@
 
 } // namespace
 
-TEST_CASE("deltas and snapshots in any order, and twice, end in what the store holds")
+TEST_CASE("reordered and duplicated deltas and snapshots converge to the content of the store")
 {
-    // Two readers tell a router of changes, and a third sends a snapshot; links are of different speed, so that older
-    // news comes after newer. An entry that had left came back, or a newer one gave way to an older.
+    // Guards against a removed entry that reappears, or a newer entry that is overwritten by an older one. Two readers
+    // send changes and a third sends a snapshot over links of different speed, so older updates arrive after newer
+    // ones.
     for (unsigned seed = 0; seed < 200; ++seed) {
         const History history(seed);
         std::mt19937 random(seed);
@@ -88,7 +89,7 @@
     }
 }
 
-TEST_CASE("a snapshot says what it changes, and an older one changes nothing")
+TEST_CASE("applying a snapshot returns its changes, and an older snapshot changes nothing")
 {
     PrefixCopy copy;
     CHECK(applySnapshot(copy, {entry("a", 3), entry("b", 4)}, 5).size() == 2);
@@ -101,21 +102,21 @@
     CHECK(copy.items.count("a") == 0);
 }
 
-TEST_CASE("an entry that left stays away when an older delta comes late")
+TEST_CASE("a removed entry is not restored by a delayed older delta")
 {
     PrefixCopy copy;
     applySnapshot(copy, {entry("a", 3)}, 5);
     CHECK(applyDelta(copy, {removal("a", 9)}).size() == 1);
     CHECK(applyDelta(copy, {entry("a", 7, "draining")}).empty());
     CHECK(copy.items.empty());
-    // Also once a fellow with an equal copy has told to which revision it is complete.
+    // Also after the tombstone was dropped because a peer with an equal copy has reported a higher complete revision.
     markComplete(copy, 9);
     CHECK(copy.removed.empty());
     CHECK(applyDelta(copy, {entry("a", 7, "draining")}).empty());
     CHECK(applyDelta(copy, {entry("a", 10)}).size() == 1);
 }
 
-TEST_CASE("routers that see the same others agree on who reads, and one steps in for each that goes")
+TEST_CASE("routers with the same view of the fleet agree on the readers, and a removed reader is replaced")
 {
     std::vector<std::uint64_t> weights{50, 20, 90, 70, 10};
     const auto readers = [&weights] {
@@ -137,7 +138,7 @@
     CHECK(readerRank(50, {}, 2) == 0);
 }
 
-TEST_CASE("a copy knows for how long it has held what another one lacks")
+TEST_CASE("a copy reports for how long it has held changes that another copy lacks")
 {
     const TimePoint start{std::chrono::seconds(100)};
     const auto at = [start](int milliseconds) {
@@ -147,7 +148,7 @@
     CHECK(timeAheadOf(times, 0, at(0)) == Duration::zero());
     noteChange(times, 5, at(0));
     noteChange(times, 9, at(300));
-    noteChange(times, 7, at(400)); // Late, and of no account to a copy that knows 9.
+    noteChange(times, 7, at(400)); // Late; ignored because the copy already knows revision 9.
     CHECK(timeAheadOf(times, 9, at(1000)) == Duration::zero());
     CHECK(timeAheadOf(times, 5, at(1000)) == std::chrono::milliseconds(700));
     CHECK(timeAheadOf(times, 4, at(1000)) == std::chrono::seconds(1));
@@ -158,26 +159,26 @@
     CHECK(timeAheadOf(times, 4, at(2500)) == std::chrono::milliseconds(1500));
 }
 
-TEST_CASE("a copy is outdated when a peer has held newer ones for long, and not for want of answers")
+TEST_CASE("a copy is stale if a peer has held newer changes for too long, but not if responses are missing")
 {
     const TimePoint start{std::chrono::seconds(100)};
     const FreshnessOptions options;
     CopyFreshness freshness;
     CHECK_FALSE(isStale(freshness, options, start));
     recordPeerState(freshness, start, Duration::zero(), start);
-    // A router that has nothing to ask for is not outdated by that.
+    // A router that has no reason to poll does not become stale.
     CHECK_FALSE(isStale(freshness, options, start + options.responseValidity - std::chrono::milliseconds(1)));
-    // An answer that comes late is as old as its question.
+    // A delayed response counts from the time of its request.
     const TimePoint later = start + 2 * options.maxStaleness;
     recordPeerState(freshness, start + std::chrono::milliseconds(10), Duration::zero(), later);
     CHECK(isStale(freshness, options, later));
     CHECK_FALSE(isStale(freshness, options, later + options.responseValidity));
-    SECTION("what it has read itself is new")
+    SECTION("a read from the store makes it current")
     {
         recordFullRead(freshness, later - std::chrono::milliseconds(5));
         CHECK_FALSE(isStale(freshness, options, later));
     }
-    SECTION("one that holds newer changes is believed over one that does not")
+    SECTION("a peer that holds newer changes overrides one that does not")
     {
         recordPeerState(freshness, later, Duration::zero(), later);
         CHECK_FALSE(isStale(freshness, options, later));
--- a/godwit/gateway/response_ending_test.cpp
+++ b/godwit/gateway/response_ending_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("a stream that ends inside an event was broken off, whatever its framing says")
+TEST_CASE("a stream that ends inside an event is truncated regardless of its framing")
 {
     for (const ResponseFraming framing : Framings) {
         for (const ConnectionEnd end : Ends) {
@@ -27,9 +27,9 @@
     }
 }
 
-TEST_CASE("only a length that is reached or a last chunk declares an answer's end")
+TEST_CASE("only a reached content length or a last chunk declares the end of a response")
 {
-    // Guards against the end of a connection being passed on as the word of the endpoint.
+    // Guards against a closed connection being forwarded to the caller as a response that the endpoint completed.
     for (const ConnectionEnd end : Ends) {
         for (const StreamPosition position : Positions) {
             CHECK(completenessOf({ResponseFraming::Connection, end, position}) != ResponseCompleteness::Declared);
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_CASE("an end in order infers a whole answer only where one may end")
+TEST_CASE("a clean close implies a complete response only where a response may end")
 {
     const auto closed = [](std::optional<StreamPosition> position) {
         return completenessOf({ResponseFraming::Connection, ConnectionEnd::Closed, position});
@@ -59,7 +59,7 @@
           == ResponseCompleteness::Truncated);
 }
 
-TEST_CASE("an end that nobody declared is passed on only by a connection's end")
+TEST_CASE("an undeclared end is forwarded only by closing the connection")
 {
     CHECK(framingToForward(ResponseFraming::Connection, ResponseFraming::Chunked) == ResponseFraming::Connection);
     CHECK(framingToForward(ResponseFraming::Connection, ResponseFraming::Length) == ResponseFraming::Connection);
--- a/godwit/gateway/retry_budget_test.cpp
+++ b/godwit/gateway/retry_budget_test.cpp
@@ -1,4 +1,5 @@
-// Repeats of a whole fleet, counted as its endpoints see them: routers with their shares, and a store with leases.
+// Simulates the retries of a whole fleet as its endpoints count them: routers with their shares, and a store with
+// leases.
 
 #include "godwit/gateway/limit_shares.h"
 #include "godwit/gateway/retry_budget.h"
@@ -33,8 +34,8 @@
         std::uint64_t lease = 0;
     };
     std::map<int, Entry> entries;
-    std::map<std::uint64_t, TimePoint> leases; // Until when.
-    std::uint64_t last = 0; // Revision or lease.
+    std::map<std::uint64_t, TimePoint> leases; // Expiry times.
+    std::uint64_t last = 0; // Last assigned revision or lease id.
 };
 
 struct Router
@@ -42,8 +43,8 @@
     std::string name;
     RetryBudget budget;
     LimitShares shares;
-    std::size_t knownRouters = 1; // Routers that it believes to be live, itself included.
-    TimePoint partitionedUntil; // From the store.
+    std::size_t knownRouters = 1; // Number of routers that it considers live, including itself.
+    TimePoint partitionedUntil; // Partitioned from the store until then.
     TimePoint renewAt;
     TimePoint claimAt;
 };
@@ -55,13 +56,13 @@
     Store store;
     std::vector<Router> routers;
     double requestsPerSecond = 100;
-    int wanted = 1; // Repeats of each request.
+    int wanted = 1; // Retries attempted per request.
     std::function<void(Fleet &, TimePoint)> disturb = [](Fleet &, TimePoint) {};
 };
 
 struct Repeats
 {
-    double maxUse = 0; // In any window, as a multiple of what is allowed then.
+    double maxUse = 0; // Maximum over all windows, as a multiple of what is allowed.
     int taken = 0;
 };
 
@@ -151,7 +152,7 @@
     return fleet.rules.ratio * static_cast<double>(requests.size()) + fleet.rules.slack;
 }
 
-// Requests come to the routers in turn.
+// Distributes the requests round-robin over the routers.
 Repeats simulate(Fleet &fleet, Duration time, std::uint64_t seed = 1)
 {
     std::mt19937_64 random(seed);
@@ -191,7 +192,7 @@
 
 } // namespace
 
-TEST_CASE("a fleet whose routers hear nothing of each other repeats no more than its allowance")
+TEST_CASE("a fleet whose routers do not know of each other stays within its retry budget")
 {
     Fleet fleet = fleetOf(8, 0.02, 56);
     for (Router &router : fleet.routers) {
@@ -200,7 +201,7 @@
     CHECK(simulate(fleet, seconds(30)).maxUse <= 1);
 }
 
-TEST_CASE("a fleet whose routers restart again and again repeats no more than its allowance")
+TEST_CASE("a fleet whose routers restart repeatedly stays within its retry budget")
 {
     Fleet fleet = fleetOf(8, 0.02, 56);
     fleet.disturb = [next = Start + seconds(3)](Fleet &own, TimePoint now) mutable {
@@ -212,9 +213,10 @@
     CHECK(simulate(fleet, seconds(30)).maxUse <= 1);
 }
 
-TEST_CASE("repeats just before a restart and those of the window after it stay within one allowance")
+TEST_CASE("retries just before a restart and in the window after it stay within one retry budget")
 {
-    // A process that starts knows nothing of what the one before it took out of the requests of the same window.
+    // Guards against exceeding the budget after a restart: a new process does not know how much of the budget of the
+    // same window its predecessor has used.
     Fleet fleet = fleetOf(8, 0.2, 0);
     fleet.disturb = [](Fleet &own, TimePoint now) {
         const Duration since = now - Start;
@@ -230,7 +232,7 @@
     CHECK(repeats.maxUse <= 1);
 }
 
-TEST_CASE("a fleet in cuts and restarts, with routers that believe anything, repeats no more than its allowance")
+TEST_CASE("a fleet with partitions, restarts and wrong views of its size stays within its retry budget")
 {
     const std::uint64_t seed = GENERATE(range(1, 25));
     std::mt19937_64 random(seed);
@@ -260,7 +262,7 @@
     CHECK(simulate(fleet, seconds(120), seed).maxUse <= 1);
 }
 
-TEST_CASE("a calm fleet may use most of its allowance")
+TEST_CASE("an undisturbed fleet can use most of its retry budget")
 {
     const auto [routers, part] =
         GENERATE(table<std::size_t, double>({{1, 0.7 * 0.9}, {3, 0.7 * 0.9}, {8, 0.9 * 0.9}, {60, 0.6}}));
@@ -269,18 +271,18 @@
     CHECK(simulate(fleet, seconds(40)).maxUse >= (part * 56 + 0.4 * 20) / allowed);
 }
 
-TEST_CASE("a share that another router held is used only after a window")
+TEST_CASE("a claimed share is usable only after a window has passed")
 {
     LimitShares shares;
     renewShareLease(shares, 1, seconds(12));
     addShares(shares, {{0, 0}}, 7, Start + seconds(12));
     CHECK(usableShares(shares, Start + seconds(11), seconds(1)).none());
     CHECK(usableShares(shares, Start + seconds(12), seconds(1)).any());
-    SECTION("and not once the lease may have ended")
+    SECTION("not after the lease may have expired")
     {
         CHECK(usableShares(shares, Start + seconds(12), seconds(12)).none());
     }
-    SECTION("and not under another lease")
+    SECTION("not under a different lease")
     {
         renewShareLease(shares, 2, seconds(24));
         CHECK(usableShares(shares, Start + seconds(12), seconds(1)).none());
--- a/godwit/gateway/value_delta_test.cpp
+++ b/godwit/gateway/value_delta_test.cpp
@@ -27,18 +27,18 @@
 
 } // namespace
 
-TEST_CASE("a delta against the base gives the value, and costs what changed")
+TEST_CASE("a delta restores the value, and its size depends on what changed")
 {
     const std::string base = document(107, 400);
     std::string value = document(108, 401);
-    SECTION("one row more")
+    SECTION("a row is appended")
     {
     }
-    SECTION("a row in the middle goes")
+    SECTION("a row in the middle is removed")
     {
         value.erase(value.find(row(200)), row(200).size());
     }
-    SECTION("one number changes")
+    SECTION("a number is changed")
     {
         value.replace(value.find("4000"), 4, "250");
     }
@@ -48,7 +48,7 @@
     CHECK(encodedSize(delta) < value.size() / 20);
 }
 
-TEST_CASE("any two values have a delta")
+TEST_CASE("a delta exists for any two values")
 {
     std::mt19937 random(5);
     const auto text = [&random] {
@@ -66,7 +66,7 @@
     CHECK(applyValueDelta("", makeValueDelta("", "")) == "");
 }
 
-TEST_CASE("a delta for another base gives nothing")
+TEST_CASE("a delta for a different base is rejected")
 {
     const std::string base = document(107, 400);
     ValueDelta delta = makeValueDelta(base, document(108, 401));
