--- a/godwit/gateway/retry_budget_test.cpp
+++ b/godwit/gateway/retry_budget_test.cpp
@@ -1,4 +1,5 @@
-// Repeats of a whole fleet, counted as its endpoints see them: routers with their shares, and a store with leases.
+// Simulates the retries of a whole fleet as its endpoints count them: routers with their shares, and a store with
+// leases.
 
 #include "godwit/gateway/limit_shares.h"
 #include "godwit/gateway/retry_budget.h"
@@ -22,7 +23,7 @@
 constexpr TimePoint Start{std::chrono::hours(100)};
 constexpr Duration Step = milliseconds(20);
 constexpr Duration LeaseTime = seconds(12);
-constexpr Duration KeepInterval = milliseconds(3500);
+constexpr Duration RenewInterval = milliseconds(3500);
 constexpr Duration ClaimInterval = milliseconds(500);
 
 struct Store
@@ -33,8 +34,8 @@
         std::uint64_t lease = 0;
     };
     std::map<int, Entry> entries;
-    std::map<std::uint64_t, TimePoint> leases; // Until when.
-    std::uint64_t last = 0; // Revision or lease.
+    std::map<std::uint64_t, TimePoint> leases; // Expiry times.
+    std::uint64_t last = 0; // Last assigned revision or lease id.
 };
 
 struct Router
@@ -42,9 +43,9 @@
     std::string name;
     RetryBudget budget;
     LimitShares shares;
-    std::size_t heard = 1; // Routers that it believes to be live, itself included.
-    TimePoint cutUntil; // From the store.
-    TimePoint keepAt;
+    std::size_t knownRouters = 1; // Number of routers that it considers live, including itself.
+    TimePoint partitionedUntil; // Partitioned from the store until then.
+    TimePoint renewAt;
     TimePoint claimAt;
 };
 
@@ -55,13 +56,13 @@
     Store store;
     std::vector<Router> routers;
     double requestsPerSecond = 100;
-    int wanted = 1; // Repeats of each request.
+    int wanted = 1; // Retries attempted per request.
     std::function<void(Fleet &, TimePoint)> disturb = [](Fleet &, TimePoint) {};
 };
 
 struct Repeats
 {
-    double most = 0; // In any window, as a multiple of what is allowed then.
+    double maxUse = 0; // Maximum over all windows, as a multiple of what is allowed.
     int taken = 0;
 };
 
@@ -84,7 +85,7 @@
     }
 }
 
-void keepLease(Fleet &fleet, Router &router, TimePoint now)
+void renewLease(Fleet &fleet, Router &router, TimePoint now)
 {
     const auto stored = fleet.store.leases.find(router.shares.lease);
     std::uint64_t lease = router.shares.lease;
@@ -94,13 +95,13 @@
     }
     fleet.store.leases[lease] = now + LeaseTime;
     renewShareLease(router.shares, lease, uptimeAt(now) + LeaseTime);
-    router.keepAt = now + KeepInterval;
+    router.renewAt = now + RenewInterval;
 }
 
 void claimShares(Fleet &fleet, Router &router, TimePoint now, int first)
 {
     router.claimAt = now + ClaimInterval;
-    const int fair = fairShareCount(router.heard, minShares(fleet.rules));
+    const int fair = fairShareCount(router.knownRouters, minShares(fleet.rules));
     for (const ShareClaim &released : releaseSurplus(router.shares, fleet.options, fair)) {
         fleet.store.entries.erase(released.number);
     }
@@ -123,8 +124,8 @@
 {
     router.budget = {};
     router.shares = {};
-    router.heard = 1;
-    router.keepAt = {};
+    router.knownRouters = 1;
+    router.renewAt = {};
     router.claimAt = {};
 }
 
@@ -136,7 +137,7 @@
     fleet.routers.resize(routers);
     for (std::size_t i = 0; i < routers; ++i) {
         fleet.routers[i].name = "router-" + std::to_string(i);
-        fleet.routers[i].heard = routers;
+        fleet.routers[i].knownRouters = routers;
     }
     return fleet;
 }
@@ -151,8 +152,8 @@
     return fleet.rules.ratio * static_cast<double>(requests.size()) + fleet.rules.slack;
 }
 
-// Requests come to the routers in turn.
-Repeats play(Fleet &fleet, Duration time, std::uint64_t seed = 1)
+// Distributes the requests round-robin over the routers.
+Repeats simulate(Fleet &fleet, Duration time, std::uint64_t seed = 1)
 {
     std::mt19937_64 random(seed);
     Repeats result;
@@ -164,10 +165,10 @@
         expire(fleet.store, now);
         fleet.disturb(fleet, now);
         for (Router &router : fleet.routers) {
-            if (now >= router.cutUntil && now >= router.keepAt) {
-                keepLease(fleet, router, now);
+            if (now >= router.partitionedUntil && now >= router.renewAt) {
+                renewLease(fleet, router, now);
             }
-            if (now >= router.cutUntil && now >= router.claimAt) {
+            if (now >= router.partitionedUntil && now >= router.claimAt) {
                 claimShares(fleet, router, now, static_cast<int>(random() % 64));
             }
         }
@@ -184,23 +185,23 @@
             }
         }
         const double allowed = allowedIn(fleet, requests, repeats, now);
-        result.most = std::max(result.most, static_cast<double>(repeats.size()) / allowed);
+        result.maxUse = std::max(result.maxUse, static_cast<double>(repeats.size()) / allowed);
     }
     return result;
 }
 
 } // namespace
 
-TEST_CASE("a fleet whose routers hear nothing of each other repeats no more than its allowance")
+TEST_CASE("a fleet whose routers do not know of each other stays within its retry budget")
 {
     Fleet fleet = fleetOf(8, 0.02, 56);
     for (Router &router : fleet.routers) {
-        router.heard = 1;
+        router.knownRouters = 1;
     }
-    CHECK(play(fleet, seconds(30)).most <= 1);
+    CHECK(simulate(fleet, seconds(30)).maxUse <= 1);
 }
 
-TEST_CASE("a fleet whose routers restart again and again repeats no more than its allowance")
+TEST_CASE("a fleet whose routers restart repeatedly stays within its retry budget")
 {
     Fleet fleet = fleetOf(8, 0.02, 56);
     fleet.disturb = [next = Start + seconds(3)](Fleet &own, TimePoint now) mutable {
@@ -209,12 +210,13 @@
             next += seconds(3);
         }
     };
-    CHECK(play(fleet, seconds(30)).most <= 1);
+    CHECK(simulate(fleet, seconds(30)).maxUse <= 1);
 }
 
-TEST_CASE("repeats just before a restart and those of the window after it stay within one allowance")
+TEST_CASE("retries just before a restart and in the window after it stay within one retry budget")
 {
-    // A process that starts knows nothing of what the one before it took out of the requests of the same window.
+    // Guards against exceeding the budget after a restart: a new process does not know how much of the budget of the
+    // same window its predecessor has used.
     Fleet fleet = fleetOf(8, 0.2, 0);
     fleet.disturb = [](Fleet &own, TimePoint now) {
         const Duration since = now - Start;
@@ -225,12 +227,12 @@
             std::for_each(own.routers.begin(), own.routers.end(), restart);
         }
     };
-    const Repeats repeats = play(fleet, seconds(30));
+    const Repeats repeats = simulate(fleet, seconds(30));
     CHECK(repeats.taken > 0);
-    CHECK(repeats.most <= 1);
+    CHECK(repeats.maxUse <= 1);
 }
 
-TEST_CASE("a fleet in cuts and restarts, with routers that believe anything, repeats no more than its allowance")
+TEST_CASE("a fleet with partitions, restarts and wrong views of its size stays within its retry budget")
 {
     const std::uint64_t seed = GENERATE(range(1, 25));
     std::mt19937_64 random(seed);
@@ -243,10 +245,10 @@
             restart(router);
             break;
         case 1:
-            router.cutUntil = now + seconds(random() % 30);
+            router.partitionedUntil = now + seconds(random() % 30);
             break;
         case 2:
-            router.heard = 1 + random() % (2 * own.routers.size());
+            router.knownRouters = 1 + random() % (2 * own.routers.size());
             break;
         case 3:
             if (random() % 20 == 0) {
@@ -257,30 +259,30 @@
             break;
         }
     };
-    CHECK(play(fleet, seconds(120), seed).most <= 1);
+    CHECK(simulate(fleet, seconds(120), seed).maxUse <= 1);
 }
 
-TEST_CASE("a calm fleet may use most of its allowance")
+TEST_CASE("an undisturbed fleet can use most of its retry budget")
 {
     const auto [routers, part] =
         GENERATE(table<std::size_t, double>({{1, 0.7 * 0.9}, {3, 0.7 * 0.9}, {8, 0.9 * 0.9}, {60, 0.6}}));
     Fleet fleet = fleetOf(routers, 0.02, 56);
     const double allowed = 0.02 * 1000 + 56;
-    CHECK(play(fleet, seconds(40)).most >= (part * 56 + 0.4 * 20) / allowed);
+    CHECK(simulate(fleet, seconds(40)).maxUse >= (part * 56 + 0.4 * 20) / allowed);
 }
 
-TEST_CASE("a share that another router held is used only after a window")
+TEST_CASE("a claimed share is usable only after a window has passed")
 {
     LimitShares shares;
     renewShareLease(shares, 1, seconds(12));
     addShares(shares, {{0, 0}}, 7, Start + seconds(12));
     CHECK(usableShares(shares, Start + seconds(11), seconds(1)).none());
     CHECK(usableShares(shares, Start + seconds(12), seconds(1)).any());
-    SECTION("and not once the lease may have ended")
+    SECTION("not after the lease may have expired")
     {
         CHECK(usableShares(shares, Start + seconds(12), seconds(12)).none());
     }
-    SECTION("and not under another lease")
+    SECTION("not under a different lease")
     {
         renewShareLease(shares, 2, seconds(24));
         CHECK(usableShares(shares, Start + seconds(12), seconds(1)).none());
