--- a/godwit/daemon/budget_keeper.cpp
+++ b/godwit/daemon/budget_manager.cpp
@@ -1,4 +1,4 @@
-#include "godwit/daemon/budget_keeper.h"
+#include "godwit/daemon/budget_manager.h"
 
 #include <boost/asio/post.hpp>
 
@@ -13,138 +13,140 @@
 
 } // namespace
 
-BudgetKeeper::BudgetKeeper(boost::asio::io_context &io,
-                           Relay &relay,
-                           StoreClient &store,
-                           BudgetKeeperOptions options,
-                           std::function<HostTime()> hostTime)
+BudgetManager::BudgetManager(boost::asio::io_context &io,
+                             Relay &relay,
+                             StoreClient &store,
+                             BudgetManagerOptions options,
+                             std::function<HostTime()> hostTime)
     : m_io(io)
     , m_relay(relay)
     , m_store(store)
     , m_options(std::move(options))
     , m_hostTime(std::move(hostTime))
-    , m_tick(io)
+    , m_tickTimer(io)
 {
 }
 
-void BudgetKeeper::start()
+void BudgetManager::start()
 {
     // The first readings show whether the store answers.
-    m_nextProbe = Relay::now() + m_options.firstProbeAfter;
+    m_nextProbe = Relay::now() + m_options.initialProbeDelay;
     onTick();
 }
 
-void BudgetKeeper::armTick()
+void BudgetManager::scheduleTick()
 {
-    m_tick.expires_after(m_options.tick);
-    m_tick.async_wait([this](const error_code &error) {
+    m_tickTimer.expires_after(m_options.tickInterval);
+    m_tickTimer.async_wait([this](const error_code &error) {
         if (!error) {
             onTick();
         }
     });
 }
 
-void BudgetKeeper::onTick()
+void BudgetManager::onTick()
 {
     const TimePoint now = Relay::now();
-    const bool bound = m_relay.state().prepaid.markLimitsFixed;
+    const bool limitsWereFixed = m_relay.state().prepaid.markLimitsFixed;
     if (updateMarkAge(m_relay.state().prepaid, m_hostTime())) {
-        if (bound) {
+        if (limitsWereFixed) {
             m_relay.log().write("marks_bind_no_more", {});
         }
         // Their limits grow with the time.
         m_relay.retryReservations();
     }
-    keepLease(now);
+    maintainLease(now);
     probe(now);
     auto &share = m_relay.state().prepaid;
     if (!share.ledgerKnown && !share.writing && now >= m_nextRecords && m_relay.state().platformInReach) {
-        m_nextRecords = now + m_options.probeInterval;
+        m_nextRecords = now + m_options.fleetProbeInterval;
         readRecords();
     }
-    if (!m_liveEntryWritten && m_lease != 0 && !m_leaving) {
+    if (!m_liveEntryWritten && m_lease != 0 && !m_liveEntryRemoved) {
         writeLiveEntry();
     }
-    if (m_returned && !share.writing) {
+    if (m_onReturned && !share.writing) {
         finishReturn();
     }
     writeIfDue();
-    armTick();
+    scheduleTick();
 }
 
-void BudgetKeeper::onReached(bool reached)
+void BudgetManager::onStoreReachability(bool reachable)
 {
     bool &inReach = m_relay.state().platformInReach;
-    if (reached == inReach) {
+    if (reachable == inReach) {
         return;
     }
-    inReach = reached;
+    inReach = reachable;
     const TimePoint now = Relay::now();
-    if (reached) {
-        m_nextKeep = now;
+    if (reachable) {
+        m_nextRenewal = now;
         m_nextRecords = now;
-        if (now >= m_renewedAt + m_options.leaseTime) {
+        if (now >= m_lastRenewalSentAt + m_options.leaseTime) {
             // It has most likely ended; a new one costs less time than finding out.
             forgetLease();
         }
     } else {
-        m_nextProbe = now + probeTurn();
+        m_nextProbe = now + nextProbeDelay();
     }
     // What others wrote meanwhile is not known.
     m_relay.state().prepaid.ledgerKnown = false;
-    m_relay.log().write(reached ? "platform_regained" : "platform_lost", {});
-    if (reached && onRegained) {
-        onRegained();
+    m_relay.log().write(reachable ? "platform_regained" : "platform_lost", {});
+    if (reachable && onStoreRegained) {
+        onStoreRegained();
     }
 }
 
 // By lot from the first probe on: routers that all lost the store at once would else all ask at once, and then none for
 // as long as a whole turn takes. Those that reach the store take no turns: a router that has lost it alone would wait
 // for all of theirs.
-Duration BudgetKeeper::probeTurn()
+Duration BudgetManager::nextProbeDelay()
 {
     const int routers = std::max(1, m_relay.state().liveRouters);
-    const double lost = lostElsewhere ? lostElsewhere() * routers : routers;
-    const Duration least = std::min<Duration>(m_options.probeInterval * routers, m_options.ownProbeInterval);
-    const Duration turn = std::max(least, std::chrono::duration_cast<Duration>(m_options.probeInterval * lost));
-    const double lot = static_cast<double>(m_relay.random() % 1024) / 1024.0;
-    return std::chrono::duration_cast<Duration>(turn * 2 * lot);
+    const double routersWithoutStore = peerFractionWithoutStore ? peerFractionWithoutStore() * routers : routers;
+    const Duration minMeanDelay =
+        std::min<Duration>(m_options.fleetProbeInterval * routers, m_options.minOwnProbeInterval);
+    const Duration meanDelay = std::max(
+        minMeanDelay, std::chrono::duration_cast<Duration>(m_options.fleetProbeInterval * routersWithoutStore));
+    const double fraction = static_cast<double>(m_relay.random() % 1024) / 1024.0;
+    return std::chrono::duration_cast<Duration>(meanDelay * 2 * fraction);
 }
 
 // Routers take turns at asking whether the store is back, and tell each other.
-void BudgetKeeper::probe(TimePoint now)
+void BudgetManager::probe(TimePoint now)
 {
-    if (m_relay.state().platformInReach || m_probeOpen || now < m_nextProbe) {
+    if (m_relay.state().platformInReach || m_probeInFlight || now < m_nextProbe) {
         return;
     }
-    m_nextProbe = now + probeTurn();
+    m_nextProbe = now + nextProbeDelay();
     probeNow();
 }
 
-void BudgetKeeper::probeNow()
+void BudgetManager::probeNow()
 {
-    if (m_probeOpen || m_relay.state().platformInReach) {
+    if (m_probeInFlight || m_relay.state().platformInReach) {
         return;
     }
-    m_probeOpen = true;
+    m_probeInFlight = true;
     m_store.probe(m_options.ledgerKey, [this](StoreStatus status) {
-        m_probeOpen = false;
-        const bool reached = status == StoreStatus::Ok || status == StoreStatus::NotFound;
-        const bool news = reached && !m_relay.state().platformInReach;
-        onReached(reached);
-        if (news && onFoundAgain) {
-            onFoundAgain();
+        m_probeInFlight = false;
+        const bool reachable = status == StoreStatus::Ok || status == StoreStatus::NotFound;
+        const bool regained = reachable && !m_relay.state().platformInReach;
+        onStoreReachability(reachable);
+        if (regained && onStoreFoundByProbe) {
+            onStoreFoundByProbe();
         }
     });
 }
 
-void BudgetKeeper::keepLease(TimePoint now)
+void BudgetManager::maintainLease(TimePoint now)
 {
-    if (m_leaseCallOpen || now < m_nextKeep || m_returned || !m_relay.state().platformInReach) {
+    if (m_leaseCallInFlight || now < m_nextRenewal || m_onReturned || !m_relay.state().platformInReach) {
         return;
     }
     if (m_lease == 0) {
-        m_nextKeep = now + m_options.keepInterval;
+        m_nextRenewal = now + m_options.renewInterval;
         grantLease();
         return;
     }
@@ -152,91 +154,92 @@
 }
 
 // A renewal costs a tenth of a probe, and shows as well whether the store is back.
-void BudgetKeeper::onFoundElsewhere()
+void BudgetManager::onStoreFoundByPeer()
 {
-    if (m_lease == 0 || m_leaseCallOpen) {
+    if (m_lease == 0 || m_leaseCallInFlight) {
         probeNow();
     } else if (!m_relay.state().platformInReach) {
         renewLease(Relay::now());
     }
 }
 
-void BudgetKeeper::renewLease(TimePoint now)
+void BudgetManager::renewLease(TimePoint now)
 {
-    m_nextKeep = now + m_options.keepInterval;
-    m_leaseCallOpen = true;
-    m_store.renewLease(m_lease, [this, now, uptime = Relay::uptime(), call = ++m_leaseCalls](StoreStatus status) {
+    m_nextRenewal = now + m_options.renewInterval;
+    m_leaseCallInFlight = true;
+    m_store.renewLease(m_lease, [this, now, uptime = Relay::uptime(), call = ++m_lastLeaseCallId](StoreStatus status) {
         // News of a former lease says nothing of its successor.
-        if (call != m_leaseCalls) {
+        if (call != m_lastLeaseCallId) {
             return;
         }
-        m_leaseCallOpen = false;
-        onReached(status == StoreStatus::Ok || status == StoreStatus::NotFound);
+        m_leaseCallInFlight = false;
+        onStoreReachability(status == StoreStatus::Ok || status == StoreStatus::NotFound);
         if (status == StoreStatus::Ok) {
-            onLeaseKept(now, uptime, m_options.leaseTime);
+            onLeaseRenewed(now, uptime, m_options.leaseTime);
         } else if (status == StoreStatus::NotFound) {
             onLeaseLost();
         }
     });
 }
 
-void BudgetKeeper::grantLease()
+void BudgetManager::grantLease()
 {
-    m_leaseCallOpen = true;
-    ++m_leaseCalls;
-    const TimePoint asked = Relay::now();
-    m_store.grantLease(m_options.leaseTime, [this, asked, uptime = Relay::uptime()](const StoreLeaseReply &reply) {
-        m_leaseCallOpen = false;
-        onReached(reply.status == StoreStatus::Ok);
-        if (reply.status == StoreStatus::Ok) {
-            m_lease = reply.lease;
-            onLeaseKept(asked, uptime, std::min(reply.timeToLive, m_options.leaseTime));
-            m_nextKeep = asked + m_options.keepInterval;
-            m_liveEntryWritten = false;
-        }
-    });
+    m_leaseCallInFlight = true;
+    ++m_lastLeaseCallId;
+    const TimePoint requestedAt = Relay::now();
+    m_store.grantLease(m_options.leaseTime,
+                       [this, requestedAt, uptime = Relay::uptime()](const StoreLeaseReply &reply) {
+                           m_leaseCallInFlight = false;
+                           onStoreReachability(reply.status == StoreStatus::Ok);
+                           if (reply.status == StoreStatus::Ok) {
+                               m_lease = reply.lease;
+                               onLeaseRenewed(requestedAt, uptime, std::min(reply.timeToLive, m_options.leaseTime));
+                               m_nextRenewal = requestedAt + m_options.renewInterval;
+                               m_liveEntryWritten = false;
+                           }
+                       });
 }
 
 // `uptime`: of the host, when the call was made.
-void BudgetKeeper::onLeaseKept(TimePoint asked, Duration uptime, Duration timeToLive)
+void BudgetManager::onLeaseRenewed(TimePoint requestedAt, Duration uptime, Duration timeToLive)
 {
-    m_renewedAt = asked;
+    m_lastRenewalSentAt = requestedAt;
     renewShareLease(m_relay.state().limitShares, m_lease, uptime + timeToLive);
 }
 
-void BudgetKeeper::forgetLease()
+void BudgetManager::forgetLease()
 {
     m_lease = 0;
     m_liveEntryWritten = false;
     dropShareLease(m_relay.state().limitShares);
 }
 
-void BudgetKeeper::onLeaseLost()
+void BudgetManager::onLeaseLost()
 {
     m_relay.log().write("lease_lost", {{"lease", static_cast<std::int64_t>(m_lease)}});
     forgetLease();
-    m_nextKeep = TimePoint{};
+    m_nextRenewal = TimePoint{};
     m_nextRecords = TimePoint{};
     grantLease();
 }
 
-void BudgetKeeper::writeLiveEntry()
+void BudgetManager::writeLiveEntry()
 {
-    if (m_liveCallOpen) {
+    if (m_liveWriteInFlight) {
         return;
     }
-    m_liveCallOpen = true;
+    m_liveWriteInFlight = true;
     StoreTransaction transaction;
     transaction.puts.push_back({m_options.liveKey, m_options.liveValue, m_lease});
     m_store.transact(transaction, [this, lease = m_lease](const StoreWriteReply &reply) {
-        m_liveCallOpen = false;
+        m_liveWriteInFlight = false;
         // What was written under a former lease went with it.
         if (lease != m_lease) {
             return;
         }
         m_liveEntryWritten = reply.status == StoreStatus::Ok;
-        if (m_liveEntryWritten && onLiveWritten) {
-            onLiveWritten();
+        if (m_liveEntryWritten && onLiveEntryWritten) {
+            onLiveEntryWritten();
         }
         if (reply.status == StoreStatus::NotFound) {
             onLeaseLost();
@@ -244,9 +247,9 @@
     });
 }
 
-void BudgetKeeper::leave()
+void BudgetManager::removeLiveEntry()
 {
-    m_leaving = true;
+    m_liveEntryRemoved = true;
     StoreTransaction transaction;
     transaction.removals.push_back(m_options.liveKey);
     m_store.transact(transaction, [](const StoreWriteReply &) {
@@ -254,32 +257,32 @@
     });
 }
 
-void BudgetKeeper::readRecords()
+void BudgetManager::readRecords()
 {
-    if (m_recordsCallOpen) {
+    if (m_recordsReadInFlight) {
         return;
     }
-    m_recordsCallOpen = true;
+    m_recordsReadInFlight = true;
     m_store.get(m_options.ledgerKey, [this](const StoreItemReply &ledger) {
         onLedgerRead(ledger);
     });
 }
 
-void BudgetKeeper::onLedgerRead(const StoreItemReply &ledger)
+void BudgetManager::onLedgerRead(const StoreItemReply &ledger)
 {
     const bool answered = ledger.status == StoreStatus::Ok || ledger.status == StoreStatus::NotFound;
-    onReached(answered);
+    onStoreReachability(answered);
     if (!answered) {
-        m_recordsCallOpen = false;
+        m_recordsReadInFlight = false;
         return;
     }
     m_store.get(m_options.markKey, [this, ledger](const StoreItemReply &mark) {
-        m_recordsCallOpen = false;
+        m_recordsReadInFlight = false;
         onMarkRead(ledger, mark);
     });
 }
 
-void BudgetKeeper::onMarkRead(const StoreItemReply &ledger, const StoreItemReply &mark)
+void BudgetManager::onMarkRead(const StoreItemReply &ledger, const StoreItemReply &mark)
 {
     auto &share = m_relay.state().prepaid;
     if ((mark.status != StoreStatus::Ok && mark.status != StoreStatus::NotFound) || share.writing) {
@@ -314,7 +317,7 @@
 }
 
 // What a process found when it came: the first question after a death is what it has cost.
-void BudgetKeeper::logLedger()
+void BudgetManager::logLedger()
 {
     for (const auto &[customer, account] : m_relay.state().prepaid.ledger.accounts) {
         m_relay.log().write("ledger_found",
@@ -326,23 +329,23 @@
     }
 }
 
-void BudgetKeeper::hurry()
+void BudgetManager::writeSoon()
 {
-    if (m_hurryPosted) {
+    if (m_writePosted) {
         return;
     }
     // Several requests that come together make one write.
-    m_hurryPosted = true;
+    m_writePosted = true;
     boost::asio::post(m_io, [this] {
-        m_hurryPosted = false;
+        m_writePosted = false;
         writeIfDue();
     });
 }
 
-void BudgetKeeper::writeIfDue()
+void BudgetManager::writeIfDue()
 {
     auto &share = m_relay.state().prepaid;
-    if (!m_relay.state().platformInReach || m_relay.state().stage == RelayStage::Starting || m_returned) {
+    if (!m_relay.state().platformInReach || m_relay.state().stage == RelayStage::Starting || m_onReturned) {
         return;
     }
     m_relay.updateTokenDemand();
@@ -351,7 +354,7 @@
     }
 }
 
-void BudgetKeeper::write(const ShareWrite &write)
+void BudgetManager::write(const ShareWrite &write)
 {
     StoreTransaction transaction;
     transaction.conditions.push_back({m_options.markKey, write.markRevision});
@@ -366,7 +369,7 @@
     });
 }
 
-void BudgetKeeper::onWritten(const StoreWriteReply &reply)
+void BudgetManager::onWritten(const StoreWriteReply &reply)
 {
     auto &share = m_relay.state().prepaid;
     switch (reply.status) {
@@ -383,15 +386,15 @@
     case StoreStatus::NotFound:
     case StoreStatus::Refused:
         onWriteRefused(share, false);
-        onReached(false);
+        onStoreReachability(false);
         break;
     case StoreStatus::HistoryCompacted:
     case StoreStatus::Unknown:
         onWriteUnknown(share);
-        onReached(false);
+        onStoreReachability(false);
         break;
     }
-    if (m_returned) {
+    if (m_onReturned) {
         finishReturn();
         return;
     }
@@ -399,7 +402,7 @@
 }
 
 // The answer says what stands, which saves two reads in the frequent case that another router was faster.
-void BudgetKeeper::onConditionFailed(const StoreWriteReply &reply)
+void BudgetManager::onConditionFailed(const StoreWriteReply &reply)
 {
     if (!reply.currentItems || !m_writtenLedger) {
         m_nextRecords = TimePoint{};
@@ -418,15 +421,15 @@
     onMarkRead(ledger, mark);
 }
 
-void BudgetKeeper::returnAll(std::function<void()> done)
+void BudgetManager::returnAll(std::function<void()> done)
 {
-    m_returned = std::move(done);
+    m_onReturned = std::move(done);
     if (!m_relay.state().prepaid.writing) {
         finishReturn();
     }
 }
 
-void BudgetKeeper::finishReturn()
+void BudgetManager::finishReturn()
 {
     auto &share = m_relay.state().prepaid;
     if (!share.returned && m_relay.state().platformInReach) {
@@ -434,14 +437,14 @@
             write(*due);
             return;
         }
-        if (!share.ledgerKnown && !m_recordsCallOpen) {
+        if (!share.ledgerKnown && !m_recordsReadInFlight) {
             readRecords();
         }
     }
     // Until it has worked the tick tries again; the owner bounds how long.
     if (share.returned && m_lease != 0) {
         dropShareLease(m_relay.state().limitShares);
-        m_store.revokeLease(m_lease, [done = std::exchange(m_returned, [] {})](StoreStatus) {
+        m_store.revokeLease(m_lease, [done = std::exchange(m_onReturned, [] {})](StoreStatus) {
             done();
         });
     }
--- a/godwit/daemon/budget_keeper.h
+++ b/godwit/daemon/budget_manager.h
@@ -19,7 +19,7 @@
 namespace Godwit
 {
 
-struct BudgetKeeperOptions
+struct BudgetManagerOptions
 {
     std::string ledgerKey = "godwit/ledger";
     std::string markKey; // This host's own.
@@ -27,65 +27,65 @@
     std::string liveValue;
     // Of the entry among the live routers. Links tell sooner who is gone, and it outlasts a usual loss of the store.
     Duration leaseTime = std::chrono::seconds(12);
-    Duration keepInterval = std::chrono::milliseconds(3500);
+    Duration renewInterval = std::chrono::milliseconds(3500);
     // While the store is away, the fleet as a whole asks this often whether it is back.
-    Duration probeInterval = std::chrono::milliseconds(120);
+    Duration fleetProbeInterval = std::chrono::milliseconds(120);
     // One router asks no more often than this, however few have lost the store.
-    Duration ownProbeInterval = std::chrono::milliseconds(800);
-    Duration firstProbeAfter = std::chrono::milliseconds(500);
-    Duration tick = std::chrono::milliseconds(100);
+    Duration minOwnProbeInterval = std::chrono::milliseconds(800);
+    Duration initialProbeDelay = std::chrono::milliseconds(500);
+    Duration tickInterval = std::chrono::milliseconds(100);
 };
 
-class BudgetKeeper
+class BudgetManager
 {
 public:
-    BudgetKeeper(boost::asio::io_context &io,
-                 Relay &relay,
-                 StoreClient &store,
-                 BudgetKeeperOptions options,
-                 std::function<HostTime()> hostTime);
+    BudgetManager(boost::asio::io_context &io,
+                  Relay &relay,
+                  StoreClient &store,
+                  BudgetManagerOptions options,
+                  std::function<HostTime()> hostTime);
 
     void start();
 
     // Looks at once whether a write is due: a request waits for tokens.
-    void hurry();
+    void writeSoon();
 
     // Takes the live entry away: callers are to be sent elsewhere.
-    void leave();
+    void removeLiveEntry();
 
     // Gives everything back and ends the lease; `done` is called once, also when the store is out of reach.
     void returnAll(std::function<void()> done);
 
     // Called when the store was heard, or not.
-    void onReached(bool reached);
+    void onStoreReachability(bool reachable);
 
     // The store is within reach again.
-    std::function<void()> onRegained;
+    std::function<void()> onStoreRegained;
 
     // This router's entry stands among the live ones.
-    std::function<void()> onLiveWritten;
+    std::function<void()> onLiveEntryWritten;
 
     // This router has found the store again by a probe: others may be told.
-    std::function<void()> onFoundAgain;
+    std::function<void()> onStoreFoundByProbe;
 
     // This router has written the ledger, as it now stands at that revision: others may be told.
     std::function<void(std::uint64_t revision, const std::string &ledger)> onLedgerWritten;
 
     // Another router has found that the store is back.
-    void onFoundElsewhere();
+    void onStoreFoundByPeer();
 
     // Which part of the other routers lately had the store out of reach; unset: all.
-    std::function<double()> lostElsewhere;
+    std::function<double()> peerFractionWithoutStore;
 
 private:
-    void armTick();
+    void scheduleTick();
     void onTick();
-    void keepLease(TimePoint now);
-    void onLeaseKept(TimePoint asked, Duration uptime, Duration timeToLive);
+    void maintainLease(TimePoint now);
+    void onLeaseRenewed(TimePoint requestedAt, Duration uptime, Duration timeToLive);
     void forgetLease();
     void probe(TimePoint now);
     void probeNow();
-    Duration probeTurn();
+    Duration nextProbeDelay();
     void renewLease(TimePoint now);
     void grantLease();
     void onLeaseLost();
@@ -103,24 +103,24 @@
     boost::asio::io_context &m_io;
     Relay &m_relay;
     StoreClient &m_store;
-    BudgetKeeperOptions m_options;
+    BudgetManagerOptions m_options;
     std::function<HostTime()> m_hostTime;
-    boost::asio::steady_timer m_tick;
+    boost::asio::steady_timer m_tickTimer;
     std::uint64_t m_lease = 0;
-    TimePoint m_renewedAt; // When the last renewal that the store confirmed was sent.
-    TimePoint m_nextKeep;
-    bool m_leaseCallOpen = false; // The last of them.
-    std::uint64_t m_leaseCalls = 0;
-    bool m_recordsCallOpen = false;
+    TimePoint m_lastRenewalSentAt; // When the last renewal that the store confirmed was sent.
+    TimePoint m_nextRenewal;
+    bool m_leaseCallInFlight = false; // The last of them.
+    std::uint64_t m_lastLeaseCallId = 0;
+    bool m_recordsReadInFlight = false;
     bool m_liveEntryWritten = false;
-    bool m_liveCallOpen = false;
-    bool m_leaving = false;
+    bool m_liveWriteInFlight = false;
+    bool m_liveEntryRemoved = false;
     std::optional<std::string> m_writtenLedger; // What the open write, or the last one, makes of the ledger.
-    bool m_hurryPosted = false;
+    bool m_writePosted = false;
     TimePoint m_nextRecords;
     TimePoint m_nextProbe;
-    bool m_probeOpen = false;
-    std::function<void()> m_returned;
+    bool m_probeInFlight = false;
+    std::function<void()> m_onReturned;
 };
 
 } // namespace Godwit
--- a/godwit/daemon/endpoint_list.cpp
+++ b/godwit/daemon/endpoint_list.cpp
@@ -10,11 +10,11 @@
 {
 
 // Lapsed entries are back within about two seconds of the store's return.
-constexpr Duration MissingGrace = std::chrono::milliseconds(2300);
+constexpr Duration MissingEntryGracePeriod = std::chrono::milliseconds(2300);
 
 // Starts of endpoints that are no longer listed are remembered up to this many, so that a late write of an old one is
 // known for what it is.
-constexpr std::size_t MaxKnownStarts = 4096;
+constexpr std::size_t MaxRememberedStarts = 4096;
 
 } // namespace
 
@@ -27,22 +27,22 @@
 void EndpointList::onStoreReturn(std::optional<TimePoint> at)
 {
     const TimePoint now = Relay::now();
-    const TimePoint keepUntil = at ? *at + MissingGrace : now;
-    if (now >= keepUntil) {
+    const TimePoint graceUntil = at ? *at + MissingEntryGracePeriod : now;
+    if (now >= graceUntil) {
         // Another router has heard the store all the while: what is missing has gone.
-        if (now < m_keepMissingUntil) {
-            m_keepMissingUntil = now;
+        if (now < m_graceUntil) {
+            m_graceUntil = now;
             apply();
         }
         return;
     }
-    if (now >= m_keepMissingUntil) {
-        m_mayHaveLapsed.clear();
-        for (const auto &[id, endpoint] : m_used) {
-            m_mayHaveLapsed.insert(id);
+    if (now >= m_graceUntil) {
+        m_possiblyLapsed.clear();
+        for (const auto &[id, endpoint] : m_inUse) {
+            m_possiblyLapsed.insert(id);
         }
     }
-    m_keepMissingUntil = keepUntil;
+    m_graceUntil = graceUntil;
 }
 
 void EndpointList::setEvacuated(const std::set<DataCentreId> &evacuated)
@@ -61,15 +61,15 @@
     apply();
 }
 
-void EndpointList::onListed(const SharedPrefix::Items &items)
+void EndpointList::onEntriesChanged(const SharedPrefix::Items &items)
 {
     for (auto it = m_entries.begin(); it != m_entries.end();) {
         it = items.count(it->first) == 0 ? m_entries.erase(it) : std::next(it);
     }
     for (const auto &[key, item] : items) {
-        read(key, item);
+        decodeEntry(key, item);
     }
-    dropForeign();
+    dropEntriesWithoutStart();
     m_listed.clear();
     for (const auto &[key, entry] : m_entries) {
         if (entry.endpoint) {
@@ -79,7 +79,7 @@
     apply();
 }
 
-void EndpointList::read(const std::string &key, const StoreItem &item)
+void EndpointList::decodeEntry(const std::string &key, const StoreItem &item)
 {
     Entry &entry = m_entries[key];
     if (entry.revision == item.revision) {
@@ -89,14 +89,14 @@
     LastReason reason;
     auto endpoint = decodeEndpoint(std::string_view(key).substr(EndpointPrefix.size()), item.value, reason);
     if (!endpoint) {
-        logRefusal(key, entry, reason->message);
+        logRejectedEntry(key, entry, reason->message);
         entry.endpoint.reset();
         return;
     }
     EndpointIncarnation &newest = m_newestStart[endpoint->id];
     if (endpoint->startedAt != 0 && endpoint->startedAt < newest) {
         // A write of an earlier start that the store has done late. What was known of the newer one still holds.
-        logRefusal(key, entry, "an entry of an earlier start of the endpoint");
+        logRejectedEntry(key, entry, "an entry of an earlier start of the endpoint");
         return;
     }
     newest = std::max(newest, endpoint->startedAt);
@@ -106,24 +106,24 @@
 
 // Where most endpoints tell their start, an entry without one comes from another writer. Not where any does: one
 // foreign entry that tells a start would else drop every endpoint of a platform where none does.
-void EndpointList::dropForeign()
+void EndpointList::dropEntriesWithoutStart()
 {
-    int told = 0;
-    int untold = 0;
+    int withStart = 0;
+    int withoutStart = 0;
     for (const auto &[key, entry] : m_entries) {
         if (entry.endpoint) {
-            ++(entry.endpoint->startedAt != 0 ? told : untold);
+            ++(entry.endpoint->startedAt != 0 ? withStart : withoutStart);
         }
     }
     for (auto &[key, entry] : m_entries) {
-        if (told > untold && entry.endpoint && entry.endpoint->startedAt == 0) {
-            logRefusal(key, entry, "the entry doesn't say when its endpoint started, as others do");
+        if (withStart > withoutStart && entry.endpoint && entry.endpoint->startedAt == 0) {
+            logRejectedEntry(key, entry, "the entry doesn't say when its endpoint started, as others do");
             entry.endpoint.reset();
         }
     }
 }
 
-void EndpointList::logRefusal(const std::string &key, const Entry &entry, std::string_view cause)
+void EndpointList::logRejectedEntry(const std::string &key, const Entry &entry, std::string_view cause)
 {
     m_relay.log().write(
         "endpoint_refused",
@@ -134,42 +134,42 @@
 {
     const TimePoint now = Relay::now();
     for (const auto &[id, endpoint] : m_listed) {
-        m_mayHaveLapsed.erase(id);
+        m_possiblyLapsed.erase(id);
     }
-    if (now >= m_keepMissingUntil) {
-        m_mayHaveLapsed.clear();
+    if (now >= m_graceUntil) {
+        m_possiblyLapsed.clear();
     }
     std::map<EndpointId, ListedEndpoint> used = m_listed;
     bool kept = false;
-    for (const auto &[id, endpoint] : m_used) {
+    for (const auto &[id, endpoint] : m_inUse) {
         // One that is there but can't be read has not lapsed.
         const bool missing = m_entries.count(std::string(EndpointPrefix) + id.value) == 0;
-        const bool keep = missing && m_mayHaveLapsed.count(id) != 0;
+        const bool keep = missing && m_possiblyLapsed.count(id) != 0;
         kept = (keep && used.emplace(id, endpoint).second) || kept;
     }
-    m_used = std::move(used);
+    m_inUse = std::move(used);
     std::vector<ListedEndpoint> list;
-    for (const auto &[id, endpoint] : m_used) {
-        list.push_back(placed(endpoint));
+    for (const auto &[id, endpoint] : m_inUse) {
+        list.push_back(withDataCentreState(endpoint));
     }
     for (const EndpointId &id : replaceEndpoints(m_relay.state().endpoints, list)) {
         m_relay.pool().closeIdle(id);
         m_relay.log().write("endpoint_started_anew",
-                            {{"endpoint", std::string_view(id.value)}, {"started_at", m_used.at(id).startedAt}});
+                            {{"endpoint", std::string_view(id.value)}, {"started_at", m_inUse.at(id).startedAt}});
     }
     for (auto it = m_newestStart.begin(); it != m_newestStart.end();) {
-        const bool forget = m_newestStart.size() > MaxKnownStarts && m_used.count(it->first) == 0;
+        const bool forget = m_newestStart.size() > MaxRememberedStarts && m_inUse.count(it->first) == 0;
         it = forget ? m_newestStart.erase(it) : std::next(it);
     }
     m_relay.log().write(
         "endpoints",
-        {{"listed", static_cast<std::int64_t>(m_listed.size())}, {"used", static_cast<std::int64_t>(m_used.size())}});
+        {{"listed", static_cast<std::int64_t>(m_listed.size())}, {"used", static_cast<std::int64_t>(m_inUse.size())}});
     if (kept) {
-        armRemovals(m_keepMissingUntil);
+        scheduleRemoval(m_graceUntil);
     }
 }
 
-ListedEndpoint EndpointList::placed(ListedEndpoint endpoint) const
+ListedEndpoint EndpointList::withDataCentreState(ListedEndpoint endpoint) const
 {
     endpoint.region = regionOf(m_relay.options().regions, endpoint.dataCentre);
     endpoint.evacuated = m_evacuated.count(endpoint.dataCentre) != 0;
@@ -182,15 +182,15 @@
     return endpoint;
 }
 
-void EndpointList::armRemovals(TimePoint at)
+void EndpointList::scheduleRemoval(TimePoint at)
 {
-    if (m_armed) {
+    if (m_removalScheduled) {
         return;
     }
-    m_armed = true;
+    m_removalScheduled = true;
     m_timer.expires_at(at);
     m_timer.async_wait([this](const boost::system::error_code &error) {
-        m_armed = false;
+        m_removalScheduled = false;
         if (!error) {
             apply();
         }
--- a/godwit/daemon/endpoint_list.h
+++ b/godwit/daemon/endpoint_list.h
@@ -27,7 +27,7 @@
 public:
     EndpointList(boost::asio::io_context &io, Relay &relay);
 
-    void onListed(const SharedPrefix::Items &items);
+    void onEntriesChanged(const SharedPrefix::Items &items);
 
     // The data centres whose endpoints are to get nothing. Those of one that is left out again count as cold: they may
     // have lost their warm state meanwhile, and say so seconds later.
@@ -45,25 +45,25 @@
         std::optional<ListedEndpoint> endpoint; // Unset when it names none.
     };
 
-    void read(const std::string &key, const StoreItem &item);
-    void dropForeign();
-    void logRefusal(const std::string &key, const Entry &entry, std::string_view cause);
+    void decodeEntry(const std::string &key, const StoreItem &item);
+    void dropEntriesWithoutStart();
+    void logRejectedEntry(const std::string &key, const Entry &entry, std::string_view cause);
     void apply();
     // With what the settings and the operators say of its data centre.
-    ListedEndpoint placed(ListedEndpoint endpoint) const;
-    void armRemovals(TimePoint at);
+    ListedEndpoint withDataCentreState(ListedEndpoint endpoint) const;
+    void scheduleRemoval(TimePoint at);
 
     Relay &m_relay;
     boost::asio::steady_timer m_timer;
     std::map<std::string, Entry> m_entries; // By key.
     std::map<EndpointId, EndpointIncarnation> m_newestStart; // Of each id, also for a while after it has gone.
     std::map<EndpointId, ListedEndpoint> m_listed; // What the store says.
-    std::map<EndpointId, ListedEndpoint> m_used; // With entries that may have lapsed while the store was away.
+    std::map<EndpointId, ListedEndpoint> m_inUse; // With entries that may have lapsed while the store was away.
     std::set<DataCentreId> m_evacuated;
     std::map<DataCentreId, TimePoint> m_evacuationEnds; // Of those that were evacuated before.
-    std::set<EndpointId> m_mayHaveLapsed; // Not seen since its return.
-    TimePoint m_keepMissingUntil;
-    bool m_armed = false;
+    std::set<EndpointId> m_possiblyLapsed; // Not seen since its return.
+    TimePoint m_graceUntil;
+    bool m_removalScheduled = false;
 };
 
 } // namespace Godwit
--- a/godwit/daemon/first_death_keeper.cpp
+++ b/godwit/daemon/first_death_store.cpp
@@ -1,4 +1,4 @@
-#include "godwit/daemon/first_death_keeper.h"
+#include "godwit/daemon/first_death_store.h"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -12,72 +12,72 @@
 {
 
 // What only leaves the value waits so long for a death that takes it along.
-constexpr Duration RemovalsWait = std::chrono::seconds(10);
+constexpr Duration MaxRemovalDelay = std::chrono::seconds(10);
 // When many endpoints die, each death is told by many routers.
-constexpr Duration LookPause = std::chrono::milliseconds(50);
+constexpr Duration MinCheckInterval = std::chrono::milliseconds(50);
 
 } // namespace
 
-FirstDeathKeeper::FirstDeathKeeper(Relay &relay, StoreClient &store, std::string key)
+FirstDeathStore::FirstDeathStore(Relay &relay, StoreClient &store, std::string key)
     : m_relay(relay)
     , m_store(store)
     , m_key(std::move(key))
 {
 }
 
-void FirstDeathKeeper::onBookChanged()
+void FirstDeathStore::onSuspectsChanged()
 {
-    if (m_lookDue) {
+    if (m_checkScheduled) {
         return;
     }
     const TimePoint now = Relay::now();
-    if (now >= m_lookedAt + LookPause) {
-        look();
+    if (now >= m_lastCheckAt + MinCheckInterval) {
+        writeIfChanged();
         return;
     }
-    m_lookDue = true;
-    auto timer = std::make_shared<boost::asio::steady_timer>(m_relay.io(), m_lookedAt + LookPause - now);
+    m_checkScheduled = true;
+    auto timer = std::make_shared<boost::asio::steady_timer>(m_relay.io(), m_lastCheckAt + MinCheckInterval - now);
     timer->async_wait([this, timer](const boost::system::error_code &error) {
-        m_lookDue = false;
+        m_checkScheduled = false;
         if (!error) {
-            look();
+            writeIfChanged();
         }
     });
 }
 
-void FirstDeathKeeper::look()
+void FirstDeathStore::writeIfChanged()
 {
-    if (m_writing || !m_relay.state().platformInReach || !writes || !writes()) {
+    if (m_writeInFlight || !m_relay.state().platformInReach || !isWriter || !isWriter()) {
         return;
     }
     const TimePoint now = Relay::now();
-    m_lookedAt = now;
+    m_lastCheckAt = now;
     const auto deaths = collectFirstDeaths(m_relay.state().suspects, now);
-    if (isWorthWriting(knownOf(deaths), now)) {
+    if (shouldWrite(keysOf(deaths), now)) {
         write(deaths);
     }
 }
 
-bool FirstDeathKeeper::isWorthWriting(const Known &wanted, TimePoint now) const
+bool FirstDeathStore::shouldWrite(const DeathKeys &wanted, TimePoint now) const
 {
     const bool adds = !std::includes(m_stored.begin(), m_stored.end(), wanted.begin(), wanted.end());
-    return adds || (wanted != m_stored && now >= m_writtenAt + RemovalsWait);
+    return adds || (wanted != m_stored && now >= m_writtenAt + MaxRemovalDelay);
 }
 
-void FirstDeathKeeper::write(const std::vector<FirstDeath> &deaths)
+void FirstDeathStore::write(const std::vector<FirstDeath> &deaths)
 {
-    m_writing = true;
+    m_writeInFlight = true;
     m_writtenAt = Relay::now();
     StoreTransaction transaction;
     transaction.conditions.push_back({m_key, m_revision});
     transaction.puts.push_back({m_key, encodeFirstDeaths(deaths), 0});
-    m_store.transact(transaction, [this, known = knownOf(deaths)](const StoreWriteReply &reply) {
-        m_writing = false;
+    m_store.transact(transaction, [this, keys = keysOf(deaths)](const StoreWriteReply &reply) {
+        m_writeInFlight = false;
         if (reply.status == StoreStatus::Ok) {
             m_revision = reply.revision;
-            m_stored = known;
-            m_relay.log().write("first_deaths_kept", {{"count", static_cast<std::int64_t>(known.size())}});
-            onBookChanged();
+            m_stored = keys;
+            m_relay.log().write("first_deaths_kept", {{"count", static_cast<std::int64_t>(keys.size())}});
+            onSuspectsChanged();
         } else if (reply.status == StoreStatus::ConditionFailed && reply.currentItems) {
             m_revision = 0;
             for (const StoreItem &item : *reply.currentItems) {
@@ -87,7 +87,7 @@
     });
 }
 
-void FirstDeathKeeper::onItem(const StoreItem &item)
+void FirstDeathStore::onItem(const StoreItem &item)
 {
     if (item.key != m_key || item.revision <= m_revision) {
         return;
@@ -100,7 +100,7 @@
     }
     RelayState &state = m_relay.state();
     const TimePoint now = Relay::now();
-    const Known before = std::exchange(m_stored, knownOf(*deaths));
+    const DeathKeys before = std::exchange(m_stored, keysOf(*deaths));
     for (const FirstDeath &death : *deaths) {
         const bool isNew = before.count({death.fingerprint, death.endpoint}) == 0;
         if (isNew && !wasAnsweredSince(state.recentAnswers, death.fingerprint, now - death.age)) {
@@ -109,13 +109,13 @@
     }
 }
 
-FirstDeathKeeper::Known FirstDeathKeeper::knownOf(const std::vector<FirstDeath> &deaths)
+FirstDeathStore::DeathKeys FirstDeathStore::keysOf(const std::vector<FirstDeath> &deaths)
 {
-    Known known;
+    DeathKeys keys;
     for (const FirstDeath &death : deaths) {
-        known.emplace(death.fingerprint, death.endpoint);
+        keys.emplace(death.fingerprint, death.endpoint);
     }
-    return known;
+    return keys;
 }
 
 } // namespace Godwit
--- a/godwit/daemon/first_death_keeper.h
+++ b/godwit/daemon/first_death_store.h
@@ -22,37 +22,37 @@
 namespace Godwit
 {
 
-class FirstDeathKeeper
+class FirstDeathStore
 {
 public:
-    FirstDeathKeeper(Relay &relay, StoreClient &store, std::string key);
+    FirstDeathStore(Relay &relay, StoreClient &store, std::string key);
 
     // A death has been noted, or was taken back. To be called now and then besides, since a write can fail.
-    void onBookChanged();
+    void onSuspectsChanged();
 
     // The copy of what the store keeps has this item.
     void onItem(const StoreItem &item);
 
     // Whether this router writes for the fleet; unset: it doesn't.
-    std::function<bool()> writes;
+    std::function<bool()> isWriter;
 
 private:
-    using Known = std::set<std::pair<std::uint64_t, EndpointId>>;
+    using DeathKeys = std::set<std::pair<std::uint64_t, EndpointId>>;
 
-    void look();
-    bool isWorthWriting(const Known &wanted, TimePoint now) const;
+    void writeIfChanged();
+    bool shouldWrite(const DeathKeys &wanted, TimePoint now) const;
     void write(const std::vector<FirstDeath> &deaths);
-    static Known knownOf(const std::vector<FirstDeath> &deaths);
+    static DeathKeys keysOf(const std::vector<FirstDeath> &deaths);
 
     Relay &m_relay;
     StoreClient &m_store;
     std::string m_key;
     std::uint64_t m_revision = 0; // 0: the store has no value.
-    Known m_stored;
-    bool m_writing = false;
+    DeathKeys m_stored;
+    bool m_writeInFlight = false;
     TimePoint m_writtenAt;
-    TimePoint m_lookedAt;
-    bool m_lookDue = false;
+    TimePoint m_lastCheckAt;
+    bool m_checkScheduled = false;
 };
 
 } // namespace Godwit
--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -1,12 +1,12 @@
 #include "godwit/daemon/gateway.h"
 
-#include "godwit/daemon/budget_keeper.h"
+#include "godwit/daemon/budget_manager.h"
 #include "godwit/daemon/endpoint_list.h"
 #include "godwit/daemon/fleet_links.h"
 #include "godwit/daemon/gateway_metrics.h"
-#include "godwit/daemon/limit_share_keeper.h"
+#include "godwit/daemon/limit_share_manager.h"
 #include "godwit/daemon/shared_prefix.h"
-#include "godwit/daemon/suspect_keeper.h"
+#include "godwit/daemon/suspect_coordinator.h"
 #include "godwit/gateway/connection_pause.h"
 #include "godwit/relay/caller_connection.h"
 #include "godwit/relay/listener.h"
@@ -37,7 +37,7 @@
 // Below the routers' own entries, so that one reading brings both.
 constexpr const char *SuspectPrefix = "godwit/live/suspect/";
 // Of the other routers: with fewer, deaths are no evidence against a request.
-constexpr double LeastPartHeard = 0.5;
+constexpr double MinConnectedFraction = 0.5;
 constexpr const char *MarkPrefix = "godwit/mark/";
 
 // Most addresses in one answer; callers take no more.
@@ -47,19 +47,19 @@
 // The entries of routers that the links have not told of yet.
 constexpr Duration LiveReadingInterval = std::chrono::seconds(2);
 // A router that can't learn which requests crash endpoints serves without that after so long.
-constexpr Duration SuspectPatience = std::chrono::seconds(1);
+constexpr Duration MaxSuspectWait = std::chrono::seconds(1);
 // A snapshot of a large copy takes a small host's link a while.
 constexpr Duration ConfirmInterval = std::chrono::seconds(1);
 // From here on a fetch of a copy is worth a line.
-constexpr Duration SlowFetch = std::chrono::milliseconds(250);
+constexpr Duration SlowFetchThreshold = std::chrono::milliseconds(250);
 // Of this host's link; callers have the rest.
-constexpr double SnapshotLinkPart = 0.5;
+constexpr double SnapshotBandwidthFraction = 0.5;
 // How often a line tells what the router has done so far.
-constexpr Duration LoadLineInterval = std::chrono::seconds(5);
+constexpr Duration LoadLogInterval = std::chrono::seconds(5);
 // Of the time that a stop may take: after the first part no new request is taken, so that those under way can end;
 // the second part leaves time to give the budgets back.
-constexpr double TakeRequestsPart = 0.36;
-constexpr double FinishPart = 0.88;
+constexpr double AcceptRequestsFraction = 0.36;
+constexpr double FinishRequestsFraction = 0.88;
 
 std::string randomSuffix()
 {
@@ -77,10 +77,10 @@
     return text.str();
 }
 
-std::chrono::milliseconds clockNow(clockid_t clock)
+std::chrono::milliseconds clockNow(clockid_t hostClock)
 {
     timespec time{};
-    ::clock_gettime(clock, &time);
+    ::clock_gettime(hostClock, &time);
     return std::chrono::milliseconds(time.tv_sec * 1000 + time.tv_nsec / 1'000'000);
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Which start of the host this is; empty where the system does not tell.
-std::string bootName()
+std::string bootId()
 {
     std::string name;
     std::ifstream("/proc/sys/kernel/random/boot_id") >> name;
@@ -107,16 +107,16 @@
     options.coldStart = ColdStartBounds{settings.coldOverrun, settings.coldSlack};
     options.prepaid.self = HolderId{settings.callerListen};
     options.prepaid.incarnation = incarnation;
-    options.prepaid.startedAt = hostTimeNow(bootName());
+    options.prepaid.startedAt = hostTimeNow(bootId());
     options.retryRules.ratio = settings.repeatRatio;
     options.retryRules.slack = settings.repeatSlack;
     options.retryRules.window = settings.repeatWindow;
     return options;
 }
 
-BudgetKeeperOptions keeperOptions(const GatewaySettings &settings, const FleetMember &self)
+BudgetManagerOptions budgetOptions(const GatewaySettings &settings, const FleetMember &self)
 {
-    BudgetKeeperOptions options;
+    BudgetManagerOptions options;
     options.markKey = MarkPrefix + settings.callerListen;
     options.liveKey = LivePrefix + settings.callerListen;
     options.liveValue = encodeMember(self);
@@ -133,13 +133,13 @@
     options.own.peerAddress = self.peerAddress;
     options.own.callerAddress = self.callerAddress;
     options.ownCapacity = self.capacity;
-    options.snapshots.perSecond = SnapshotLinkPart * bytesPerSecond(settings.linkMbps);
+    options.snapshots.perSecond = SnapshotBandwidthFraction * bytesPerSecond(settings.linkMbps);
     return options;
 }
 
-SuspectKeeperOptions suspectOptions(const Incarnation &self)
+SuspectCoordinatorOptions suspectOptions(const Incarnation &self)
 {
-    SuspectKeeperOptions options;
+    SuspectCoordinatorOptions options;
     options.self = self;
     options.prefix = SuspectPrefix;
     // The third death convicts. An error of judgement lasts seconds: then one router tries the request again, and only
@@ -172,25 +172,25 @@
         , m_log(m_io, logOptions(m_settings))
         , m_relay(m_io, relayOptions(m_settings, m_self.incarnation), m_log)
         , m_store(m_io, m_settings.store)
-        , m_keeper(m_io, m_relay, m_store, keeperOptions(m_settings, m_self), clock())
+        , m_budgets(m_io, m_relay, m_store, budgetOptions(m_settings, m_self), hostClock())
         , m_limitShares(m_relay, m_store, {m_settings.callerListen})
         , m_links(m_io, m_relay, linkOptions(m_settings, m_self))
         , m_endpoints(m_io, m_relay)
         , m_suspects(m_io, m_relay, m_store, suspectOptions(m_self.incarnation))
-        , m_documents(m_io, m_store, std::string(SiteDocumentPrefix), {}, onDocuments(), reached())
-        , m_endpointEntries(m_io, m_store, std::string(EndpointPrefix), {}, onEndpoints(), reached())
-        , m_liveEntries(m_io, m_store, LivePrefix, liveOptions(), onLive(), reached())
-        , m_callers(m_io)
+        , m_documents(m_io, m_store, std::string(SiteDocumentPrefix), {}, onDocuments(), reachabilityHandler())
+        , m_endpointEntries(m_io, m_store, std::string(EndpointPrefix), {}, onEndpoints(), reachabilityHandler())
+        , m_liveEntries(m_io, m_store, LivePrefix, liveOptions(), onLive(), reachabilityHandler())
+        , m_callerListener(m_io)
         , m_pauseOptions{m_self.capacity}
-        , m_entry(m_io, answerEntry())
-        , m_metrics(m_io, answerMetrics())
+        , m_entryServer(m_io, entryHandler())
+        , m_metricsServer(m_io, metricsHandler())
         , m_signals(m_io, SIGTERM, SIGINT)
-        , m_reloads(m_io, SIGHUP)
-        , m_sweep(m_io)
-        , m_stop(m_io)
+        , m_reloadSignals(m_io, SIGHUP)
+        , m_sweepTimer(m_io)
+        , m_stopTimer(m_io)
     {
         m_relay.onTokensNeeded = [this](const CustomerId &customer, Tokens needed) {
-            m_keeper.hurry();
+            m_budgets.writeSoon();
             m_links.askForTokens(customer, needed);
         };
         m_relay.onTokensAdded = [this] {
@@ -199,14 +199,14 @@
         m_relay.onPromptSent = [this](const PromptSent &prompt, Duration reading) {
             m_links.tellPrompt(prompt, reading);
         };
-        m_keeper.onRegained = [this] {
+        m_budgets.onStoreRegained = [this] {
             for (SharedPrefix *prefix : prefixes()) {
                 prefix->askAgain();
             }
         };
-        m_keeper.onLiveWritten = [this] {
+        m_budgets.onLiveEntryWritten = [this] {
             // Whoever wrote its entry before is in this reading, and whoever does later reads this one's.
-            if (!std::exchange(m_readSinceEntry, true)) {
+            if (!std::exchange(m_readAfterEntryWritten, true)) {
                 m_liveEntries.readNow();
             }
         };
@@ -214,24 +214,24 @@
             m_endpoints.onStoreReturn(at);
         };
         for (SharedPrefix *prefix : prefixes()) {
-            share(*prefix);
+            connectPrefix(*prefix);
         }
         m_links.onUpdate = [this](const Incarnation &from, const PrefixUpdate &update) {
-            if (SharedPrefix *prefix = prefixNamed(update.state.prefix)) {
+            if (SharedPrefix *prefix = findPrefix(update.state.prefix)) {
                 prefix->onUpdate(update, [this, from, prefix] {
                     return m_links.askSnapshot(from, prefix->request());
                 });
-                noteAgreement();
+                updateAgreement();
             }
         };
         m_links.onSnapshot = [this](const PrefixSnapshot &snapshot) {
-            if (SharedPrefix *prefix = prefixNamed(snapshot.state.prefix)) {
+            if (SharedPrefix *prefix = findPrefix(snapshot.state.prefix)) {
                 prefix->onSnapshot(snapshot);
-                noteAgreement();
+                updateAgreement();
             }
         };
         m_links.snapshotFor = [this](const SnapshotRequest &request) {
-            const SharedPrefix *prefix = prefixNamed(request.prefix);
+            const SharedPrefix *prefix = findPrefix(request.prefix);
             return prefix == nullptr ? std::nullopt : prefix->snapshotFor(request);
         };
         m_links.copyStates = [this] {
@@ -242,33 +242,33 @@
             }
             return states;
         };
-        m_keeper.lostElsewhere = [this] {
+        m_budgets.peerFractionWithoutStore = [this] {
             return m_links.partWithoutStore();
         };
-        m_keeper.onFoundAgain = [this] {
+        m_budgets.onStoreFoundByProbe = [this] {
             m_links.tellStoreFound();
         };
-        m_keeper.onLedgerWritten = [this](std::uint64_t revision, const std::string &ledger) {
+        m_budgets.onLedgerWritten = [this](std::uint64_t revision, const std::string &ledger) {
             m_links.tellLedger(revision, ledger);
         };
-        m_suspects.tell = [this](const std::vector<SuspectNotice> &notices) {
+        m_suspects.broadcast = [this](const std::vector<SuspectNotice> &notices) {
             m_links.tellSuspects(notices);
         };
-        m_suspects.hearsFleet = [this] {
-            return m_links.partHeard() >= LeastPartHeard;
+        m_suspects.isConnectedToFleet = [this] {
+            return m_links.partHeard() >= MinConnectedFraction;
         };
-        m_suspects.firstDeaths().writes = [this] {
+        m_suspects.firstDeaths().isWriter = [this] {
             return m_links.readerRankOf(m_liveEntries.prefix()) == 0;
         };
         m_links.onSuspects = [this](const std::vector<SuspectNotice> &notices) {
             m_suspects.onNotices(notices);
         };
         m_links.onLag = [this](Duration lag) {
-            recordMessageLag(m_pauses, lag, Relay::now());
+            recordMessageLag(m_pauseState, lag, Relay::now());
             pauseIfOverloaded();
         };
         m_links.onStoreFound = [this] {
-            m_keeper.onFoundElsewhere();
+            m_budgets.onStoreFoundByPeer();
         };
     }
 
@@ -280,10 +280,10 @@
                      {"version", std::string_view(GODWIT_VERSION)},
                      {"callers", std::string_view(m_settings.callerListen)},
                      {"store", std::string_view(m_settings.store)}});
-        const bool listening = m_links.start(reason) && m_entry.listen(m_settings.readyListen, reason)
-            && (m_settings.addressesListen.empty() || m_entry.listen(m_settings.addressesListen, reason))
-            && (m_settings.metricsListen.empty() || m_metrics.listen(m_settings.metricsListen, reason))
-            && m_callers.open(
+        const bool listening = m_links.start(reason) && m_entryServer.listen(m_settings.readyListen, reason)
+            && (m_settings.addressesListen.empty() || m_entryServer.listen(m_settings.addressesListen, reason))
+            && (m_settings.metricsListen.empty() || m_metricsServer.listen(m_settings.metricsListen, reason))
+            && m_callerListener.open(
                 m_settings.callerListen,
                 [this](Listener::Socket socket) {
                     std::make_shared<CallerConnection>(m_relay, m_connections, std::move(socket))->start();
@@ -296,9 +296,9 @@
         m_endpointEntries.start();
         m_liveEntries.start();
         m_startedAt = Relay::now();
-        m_keeper.start();
+        m_budgets.start();
         waitForSignals();
-        armSweep();
+        scheduleSweep();
         return true;
     }
 
@@ -332,7 +332,7 @@
     }
 
     // Null for a name that this version does not know.
-    SharedPrefix *prefixNamed(const std::string &name)
+    SharedPrefix *findPrefix(const std::string &name)
     {
         for (SharedPrefix *prefix : prefixes()) {
             if (prefix->prefix() == name) {
@@ -342,7 +342,7 @@
         return nullptr;
     }
 
-    void share(SharedPrefix &prefix)
+    void connectPrefix(SharedPrefix &prefix)
     {
         prefix.routersSharing = [this] {
             return m_relay.state().liveRouters;
@@ -370,7 +370,7 @@
     // Readings that end at once are many, and say nothing.
     void logFetch(const std::string &prefix, const CopyFetch &fetch)
     {
-        if (fetch.answered && fetch.took < SlowFetch) {
+        if (fetch.answered && fetch.took < SlowFetchThreshold) {
             return;
         }
         m_log.write("copy_fetched",
@@ -381,17 +381,17 @@
                      {"took_ms", toSeconds(fetch.took) * 1000}});
     }
 
-    std::function<HostTime()> clock() const
+    std::function<HostTime()> hostClock() const
     {
         return [boot = m_relay.options().prepaid.startedAt.boot] {
             return hostTimeNow(boot);
         };
     }
 
-    std::function<void(bool)> reached()
+    std::function<void(bool)> reachabilityHandler()
     {
         return [this](bool ok) {
-            m_keeper.onReached(ok);
+            m_budgets.onStoreReachability(ok);
         };
     }
 
@@ -399,16 +399,16 @@
     {
         return [this](const SharedPrefix::Items &items) {
             m_relay.state().documentAsOf = m_documents.asOf();
-            takeEvacuations(items);
+            applyEvacuations(items);
             const auto found = items.find(std::string(SiteDocumentKey));
             if (found != items.end() && found->second.revision != m_documentRevision) {
                 m_documentRevision = found->second.revision;
-                takeDocument(found->second.value);
+                applyDocument(found->second.value);
             }
         };
     }
 
-    void takeEvacuations(const SharedPrefix::Items &items)
+    void applyEvacuations(const SharedPrefix::Items &items)
     {
         std::set<DataCentreId> evacuated;
         for (const auto &[key, item] : items) {
@@ -431,7 +431,7 @@
         }
     }
 
-    void takeDocument(const std::string &text)
+    void applyDocument(const std::string &text)
     {
         LastReason reason;
         auto document = decodeSiteDocument(text, reason);
@@ -457,17 +457,17 @@
         state.routes = makeRouteTable(std::move(*document));
         planColdStarts();
         applyTotals(state.prepaid, version, totals);
-        checkStage();
-        m_keeper.hurry();
+        updateStage();
+        m_budgets.writeSoon();
     }
 
     std::function<void(const SharedPrefix::Items &)> onEndpoints()
     {
         return [this](const SharedPrefix::Items &items) {
             m_relay.state().endpointsAsOf = m_endpointEntries.asOf();
-            m_endpoints.onListed(items);
-            m_suspects.onListed();
-            checkStage();
+            m_endpoints.onEntriesChanged(items);
+            m_suspects.onEndpointsChanged();
+            updateStage();
         };
     }
 
@@ -487,18 +487,18 @@
             }
             m_links.setListed(members);
             m_suspects.onRecords(records);
-            checkStage();
+            updateStage();
         };
     }
 
-    void checkStage()
+    void updateStage()
     {
         auto &state = m_relay.state();
         // What the store says of requests that crash endpoints comes with the routers' entries.
-        const bool knowsSuspects = m_liveEntries.isComplete() || Relay::now() >= m_startedAt + SuspectPatience;
+        const bool knowsSuspects = m_liveEntries.isComplete() || Relay::now() >= m_startedAt + MaxSuspectWait;
         if (state.stage == RelayStage::Starting && state.routes && m_endpointEntries.isComplete() && knowsSuspects) {
             setStage(RelayStage::Serving, "serving");
-            m_keeper.hurry();
+            m_budgets.writeSoon();
         }
     }
 
@@ -508,16 +508,16 @@
         m_log.write("stage", {{"stage", name}});
     }
 
-    SimpleHttpServer::Handler answerEntry()
+    SimpleHttpServer::Handler entryHandler()
     {
         return [this](const std::string &method, const std::string &target) {
-            const PlatformQuery question = parsePlatformQuery(method, target);
+            const PlatformQuery query = parsePlatformQuery(method, target);
             SimpleHttpResponse answer;
-            if (question.kind == PlatformQueryKind::Ready) {
+            if (query.kind == PlatformQueryKind::Ready) {
                 answer.status = m_relay.isReady() ? 200 : 503;
                 answer.body = "{}";
-            } else if (question.kind == PlatformQueryKind::Addresses) {
-                const auto addresses = addressAnswer(question);
+            } else if (query.kind == PlatformQueryKind::Addresses) {
+                const auto addresses = findCallerAddresses(query);
                 answer.status = addresses.empty() ? 503 : 200;
                 answer.body = addresses.empty() ? "{}" : formatAddressList(addresses, m_settings.addressesFor);
             }
@@ -525,31 +525,31 @@
         };
     }
 
-    std::vector<std::string> addressAnswer(const PlatformQuery &question)
+    std::vector<std::string> findCallerAddresses(const PlatformQuery &query)
     {
         std::vector<EntryAddress> hosts = m_links.callerAddresses();
         if (m_relay.isReady()) {
             const RegionId own = regionOf(m_settings.regions, m_settings.dataCentre);
             hosts.push_back({m_settings.callerListen, own, m_links.isEntry()});
         }
-        std::vector<std::string> addresses = addressesForRegions(hosts, entryRegions(question));
+        std::vector<std::string> addresses = addressesForRegions(hosts, entryRegions(query));
         std::shuffle(addresses.begin(), addresses.end(), m_random);
         addresses.resize(std::min(addresses.size(), MaxAddresses));
         return addresses;
     }
 
     // Where routes are bound to regions, a router elsewhere would pass their requests on to another region.
-    AllowedRegions entryRegions(const PlatformQuery &question)
+    AllowedRegions entryRegions(const PlatformQuery &query)
     {
         const auto &routes = m_relay.state().routes;
-        AllowedRegions allowed = routes ? regionsOfHost(*routes, question.host) : AllowedRegions();
+        AllowedRegions allowed = routes ? regionsOfHost(*routes, query.host) : AllowedRegions();
         if (allowed) {
-            allowed->insert(RegionId{question.region});
+            allowed->insert(RegionId{query.region});
         }
         return allowed;
     }
 
-    SimpleHttpServer::Handler answerMetrics()
+    SimpleHttpServer::Handler metricsHandler()
     {
         return [this](const std::string &, const std::string &) {
             SimpleHttpResponse answer;
@@ -572,16 +572,16 @@
 
     void waitForReload()
     {
-        m_reloads.async_wait([this](const error_code &error, int) {
+        m_reloadSignals.async_wait([this](const error_code &error, int) {
             if (!error) {
-                readSettingsAgain("signal");
+                reloadSettings("signal");
                 waitForReload();
             }
         });
     }
 
     // Addresses stay as they were at the start; the bounds can change.
-    void readSettingsAgain(std::string_view cause)
+    void reloadSettings(std::string_view cause)
     {
         const std::string text = readFile(m_settingsFile);
         if (text == m_settingsText && cause == "file") {
@@ -604,10 +604,10 @@
         m_log.write("reload", {{"cause", cause}});
     }
 
-    void armSweep()
+    void scheduleSweep()
     {
-        m_sweep.expires_after(SweepInterval);
-        m_sweep.async_wait([this](const error_code &error) {
+        m_sweepTimer.expires_after(SweepInterval);
+        m_sweepTimer.async_wait([this](const error_code &error) {
             if (error) {
                 return;
             }
@@ -615,31 +615,31 @@
             for (SharedPrefix *prefix : prefixes()) {
                 prefix->checkRole();
             }
-            renewCopiesIfBehind();
+            refreshCopiesIfBehind();
             pauseIfOverloaded();
-            if (const LastReason failure = m_callers.takeFailure()) {
+            if (const LastReason failure = m_callerListener.takeFailure()) {
                 m_log.write("listen_failed", {{"message", std::string_view(failure->message)}});
             }
             compareCopies();
             m_limitShares.step();
             m_suspects.step();
-            checkStage();
+            updateStage();
             logLoad();
             if (m_settingsText.empty()) {
                 m_settingsText = readFile(m_settingsFile);
             }
-            readSettingsAgain("file");
-            armSweep();
+            reloadSettings("file");
+            scheduleSweep();
         });
     }
 
     // How much there was to do, now and then: the first thing to look at when a host answers late.
     void logLoad()
     {
-        if (Relay::now() < m_nextLoadLine) {
+        if (Relay::now() < m_nextLoadLog) {
             return;
         }
-        m_nextLoadLine = Relay::now() + LoadLineInterval;
+        m_nextLoadLog = Relay::now() + LoadLogInterval;
         const StoreCounters &store = m_store.counters();
         const auto calls = [&store](StoreCallKind kind) {
             return static_cast<std::int64_t>(store.byKind[static_cast<std::size_t>(kind)]);
@@ -668,18 +668,18 @@
         }
     }
 
-    void noteAgreement()
+    void updateAgreement()
     {
         RelayState &state = m_relay.state();
         state.endpointsAgreement = m_endpointEntries.agreement();
         state.documentAgreement = m_documents.agreement();
         const bool outdated = m_relay.hasOutdatedCopy(Relay::now());
-        if (outdated && !m_outdated) {
+        if (outdated && !m_copiesOutdated) {
             m_log.write("copies_outdated",
-                        {{"endpoints_ms", agreedAgo(state.endpointsAgreement)},
-                         {"document_ms", agreedAgo(state.documentAgreement)}});
+                        {{"endpoints_ms", agreementAgeMs(state.endpointsAgreement)},
+                         {"document_ms", agreementAgeMs(state.documentAgreement)}});
         }
-        m_outdated = outdated;
+        m_copiesOutdated = outdated;
     }
 
     // What the others hold was told to this router and has been lost, or is on its way over a full link.
@@ -697,7 +697,7 @@
         }
     }
 
-    static double agreedAgo(const CopyFreshness &agreement)
+    static double agreementAgeMs(const CopyFreshness &agreement)
     {
         return toSeconds(Relay::now() - agreement.currentAsOf) * 1000;
     }
@@ -708,25 +708,25 @@
             return;
         }
         const TimePoint now = Relay::now();
-        recordRequestCount(m_pauses, m_relay.counters().requests, now);
-        const Duration lag = m_pauses.lag;
-        const auto pause = computePause(m_pauses, m_relay.mayBeStale(now), m_pauseOptions, now);
-        m_relay.state().closeAfterAnswer = shouldCloseConnections(m_pauses, m_pauseOptions, now);
+        recordRequestCount(m_pauseState, m_relay.counters().requests, now);
+        const Duration lag = m_pauseState.lag;
+        const auto pause = computePause(m_pauseState, m_relay.mayBeStale(now), m_pauseOptions, now);
+        m_relay.state().closeAfterAnswer = shouldCloseConnections(m_pauseState, m_pauseOptions, now);
         if (!pause) {
             return;
         }
         m_log.write("connections_paused",
                     {{"for_ms", toSeconds(*pause) * 1000},
                      {"lag_ms", toSeconds(lag) * 1000},
-                     {"requests_per_second", m_pauses.requestsPerSecond},
+                     {"requests_per_second", m_pauseState.requestsPerSecond},
                      {"capacity", m_pauseOptions.capacity}});
         ++m_relay.counters().connectionPauses;
-        m_callers.pause(*pause);
+        m_callerListener.pause(*pause);
     }
 
-    void renewCopiesIfBehind()
+    void refreshCopiesIfBehind()
     {
-        noteAgreement();
+        updateAgreement();
         confirmIfOutdated();
         RelayState &state = m_relay.state();
         state.endpointsAsOf = m_endpointEntries.asOf();
@@ -749,32 +749,32 @@
             return;
         }
         m_stopping = true;
-        m_stopBegan = Relay::now();
+        m_stopStartedAt = Relay::now();
         m_log.write("stop", {{"signal", static_cast<std::int64_t>(signal)}, {"calls", m_relay.callsOpen}});
         setStage(RelayStage::Leaving, "leaving");
         m_links.beat();
-        m_keeper.leave();
-        stepStop();
+        m_budgets.removeLiveEntry();
+        continueStop();
     }
 
     // Callers keep an address answer for a while, so requests still come: they are served in the first part.
-    void stepStop()
+    void continueStop()
     {
-        const double passed = toSeconds(Relay::now() - m_stopBegan) / toSeconds(m_settings.stopWithin);
-        if (passed >= TakeRequestsPart && m_relay.state().stage == RelayStage::Leaving) {
+        const double passed = toSeconds(Relay::now() - m_stopStartedAt) / toSeconds(m_settings.stopWithin);
+        if (passed >= AcceptRequestsFraction && m_relay.state().stage == RelayStage::Leaving) {
             setStage(RelayStage::Stopping, "stopping");
         }
         if (m_relay.state().stage == RelayStage::Stopping) {
             closeIdleConnections();
-            if (m_relay.callsOpen == 0 || passed >= FinishPart) {
+            if (m_relay.callsOpen == 0 || passed >= FinishRequestsFraction) {
                 finishStop();
                 return;
             }
         }
-        m_stop.expires_after(std::chrono::milliseconds(100));
-        m_stop.async_wait([this](const error_code &error) {
+        m_stopTimer.expires_after(std::chrono::milliseconds(100));
+        m_stopTimer.async_wait([this](const error_code &error) {
             if (!error) {
-                stepStop();
+                continueStop();
             }
         });
     }
@@ -790,12 +790,12 @@
     void finishStop()
     {
         m_log.write("stopping", {{"calls_cut", m_relay.callsOpen}});
-        const Duration left = m_settings.stopWithin - (Relay::now() - m_stopBegan);
-        m_stop.expires_after(std::max<Duration>(left * 3 / 4, std::chrono::milliseconds(100)));
-        m_stop.async_wait([this](const error_code &) {
+        const Duration left = m_settings.stopWithin - (Relay::now() - m_stopStartedAt);
+        m_stopTimer.expires_after(std::max<Duration>(left * 3 / 4, std::chrono::milliseconds(100)));
+        m_stopTimer.async_wait([this](const error_code &) {
             end();
         });
-        m_keeper.returnAll([this] {
+        m_budgets.returnAll([this] {
             end();
         });
     }
@@ -819,33 +819,33 @@
     DecisionLog m_log;
     Relay m_relay;
     StoreClient m_store;
-    BudgetKeeper m_keeper;
-    LimitShareKeeper m_limitShares;
+    BudgetManager m_budgets;
+    LimitShareManager m_limitShares;
     FleetLinks m_links;
     EndpointList m_endpoints;
-    SuspectKeeper m_suspects;
+    SuspectCoordinator m_suspects;
     SharedPrefix m_documents;
     SharedPrefix m_endpointEntries;
     SharedPrefix m_liveEntries;
-    Listener m_callers;
+    Listener m_callerListener;
     ConnectionPauseOptions m_pauseOptions;
-    ConnectionPauseState m_pauses;
-    SimpleHttpServer m_entry;
-    SimpleHttpServer m_metrics;
+    ConnectionPauseState m_pauseState;
+    SimpleHttpServer m_entryServer;
+    SimpleHttpServer m_metricsServer;
     boost::asio::signal_set m_signals;
-    boost::asio::signal_set m_reloads;
-    boost::asio::steady_timer m_sweep;
-    boost::asio::steady_timer m_stop;
+    boost::asio::signal_set m_reloadSignals;
+    boost::asio::steady_timer m_sweepTimer;
+    boost::asio::steady_timer m_stopTimer;
     std::mt19937_64 m_random{std::random_device{}()};
     std::uint64_t m_documentRevision = 0;
-    TimePoint m_nextLoadLine;
+    TimePoint m_nextLoadLog;
     std::uint64_t m_requestsAtSweep = 0;
-    bool m_outdated = false;
+    bool m_copiesOutdated = false;
     TimePoint m_nextConfirm;
     TimePoint m_startedAt;
-    bool m_readSinceEntry = false; // The others' entries, since this router's own was written first.
+    bool m_readAfterEntryWritten = false; // The others' entries, since this router's own was written first.
     bool m_stopping = false;
-    TimePoint m_stopBegan;
+    TimePoint m_stopStartedAt;
 };
 
 Gateway::Gateway(GatewaySettings settings, std::string settingsFile)
--- a/godwit/daemon/gateway_metrics.cpp
+++ b/godwit/daemon/gateway_metrics.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-void line(std::ostringstream &out, std::string_view name, double value)
+void appendMetric(std::ostringstream &out, std::string_view name, double value)
 {
     out << name << ' ' << value << '\n';
 }
@@ -18,18 +18,19 @@
 {
     std::ostringstream out;
     const RelayCounters &counters = relay.counters();
-    line(out, "godwit_requests_total", static_cast<double>(counters.requests));
-    line(out, "godwit_answered_total", static_cast<double>(counters.answered));
-    line(out, "godwit_callers_left_total", static_cast<double>(counters.callerDisconnects));
-    line(out, "godwit_connection_pauses_total", static_cast<double>(counters.connectionPauses));
-    line(out, "godwit_attempts_total", static_cast<double>(counters.attempts));
-    line(out, "godwit_repeats_total", static_cast<double>(counters.retries));
+    appendMetric(out, "godwit_requests_total", static_cast<double>(counters.requests));
+    appendMetric(out, "godwit_answered_total", static_cast<double>(counters.answered));
+    appendMetric(out, "godwit_callers_left_total", static_cast<double>(counters.callerDisconnects));
+    appendMetric(out, "godwit_connection_pauses_total", static_cast<double>(counters.connectionPauses));
+    appendMetric(out, "godwit_attempts_total", static_cast<double>(counters.attempts));
+    appendMetric(out, "godwit_repeats_total", static_cast<double>(counters.retries));
     const RelayState &state = relay.state();
-    line(out, "godwit_limit_shares_held", static_cast<double>(state.limitShares.held.size()));
-    line(out, "godwit_limit_part_usable", fractionOf(usableShares(state.limitShares, Relay::now(), Relay::uptime())));
-    line(out, "godwit_resumed_streams_total", static_cast<double>(counters.resumedStreams));
-    line(out, "godwit_broken_off_total", static_cast<double>(counters.truncatedAnswers));
-    line(out, "godwit_connections_opened_total", static_cast<double>(counters.connectionsOpened));
+    appendMetric(out, "godwit_limit_shares_held", static_cast<double>(state.limitShares.held.size()));
+    appendMetric(
+        out, "godwit_limit_part_usable", fractionOf(usableShares(state.limitShares, Relay::now(), Relay::uptime())));
+    appendMetric(out, "godwit_resumed_streams_total", static_cast<double>(counters.resumedStreams));
+    appendMetric(out, "godwit_broken_off_total", static_cast<double>(counters.truncatedAnswers));
+    appendMetric(out, "godwit_connections_opened_total", static_cast<double>(counters.connectionsOpened));
     for (const auto &[kind, count] : counters.refusals) {
         out << "godwit_refusals_total{cause=\"" << errorName(kind) << "\"} " << count << '\n';
     }
@@ -44,32 +45,33 @@
     for (const auto &[service, count] : counters.endpointDeaths) {
         out << "godwit_endpoint_deaths_total{service=\"" << escapeLabel(service) << "\"} " << count << '\n';
     }
-    line(out, "godwit_suspects_convicted_total", static_cast<double>(counters.convictions));
-    line(out, "godwit_suspects_cleared_total", static_cast<double>(counters.suspectsCleared));
-    line(out, "godwit_suspects_unrecorded_total", static_cast<double>(counters.suspectsUnrecorded));
-    line(out, "godwit_suspect_trials_total", static_cast<double>(counters.trials));
-    line(out, "godwit_suspect_trials_denied_total", static_cast<double>(counters.trialsDenied));
-    line(out, "godwit_suspect_requests", static_cast<double>(state.suspects.deathCount.size()));
-    line(out, "godwit_answers_without_declared_end_total", static_cast<double>(counters.answersWithoutDeclaredEnd));
+    appendMetric(out, "godwit_suspects_convicted_total", static_cast<double>(counters.convictions));
+    appendMetric(out, "godwit_suspects_cleared_total", static_cast<double>(counters.suspectsCleared));
+    appendMetric(out, "godwit_suspects_unrecorded_total", static_cast<double>(counters.suspectsUnrecorded));
+    appendMetric(out, "godwit_suspect_trials_total", static_cast<double>(counters.trials));
+    appendMetric(out, "godwit_suspect_trials_denied_total", static_cast<double>(counters.trialsDenied));
+    appendMetric(out, "godwit_suspect_requests", static_cast<double>(state.suspects.deathCount.size()));
+    appendMetric(
+        out, "godwit_answers_without_declared_end_total", static_cast<double>(counters.answersWithoutDeclaredEnd));
     for (const auto &[kind, count] : counters.retryDecisions) {
         out << "godwit_repeat_draws_total{service=\"" << escapeLabel(kind.service) << "\",cause=\"" << kind.cause
             << "\",outcome=\"" << retryOutcomeName(kind.outcome) << "\"} " << count << '\n';
     }
-    line(out, "godwit_repeats_sent_late_total", static_cast<double>(counters.sends.lateRetries));
-    line(out, "godwit_sends_with_stale_time_left_total", static_cast<double>(counters.sends.staleTimeLeft));
-    line(out, "godwit_sends_beyond_attempts_total", static_cast<double>(counters.sends.beyondMaxEndpoints));
-    line(out, "godwit_sends_under_suspicion_total", static_cast<double>(counters.sends.ofSuspects));
-    line(out, "godwit_calls_open", relay.callsOpen);
-    line(out, "godwit_platform_calls_total", static_cast<double>(store.calls));
+    appendMetric(out, "godwit_repeats_sent_late_total", static_cast<double>(counters.sends.lateRetries));
+    appendMetric(out, "godwit_sends_with_stale_time_left_total", static_cast<double>(counters.sends.staleTimeLeft));
+    appendMetric(out, "godwit_sends_beyond_attempts_total", static_cast<double>(counters.sends.beyondMaxEndpoints));
+    appendMetric(out, "godwit_sends_under_suspicion_total", static_cast<double>(counters.sends.ofSuspects));
+    appendMetric(out, "godwit_calls_open", relay.callsOpen);
+    appendMetric(out, "godwit_platform_calls_total", static_cast<double>(store.calls));
     for (std::size_t kind = 0; kind < StoreCallKindCount; ++kind) {
         out << "godwit_platform_calls_by_kind_total{kind=\"" << storeCallKindName(static_cast<StoreCallKind>(kind))
             << "\"} " << store.byKind[kind] << '\n';
     }
-    line(out, "godwit_platform_calls_refused_total", static_cast<double>(store.refused));
-    line(out, "godwit_platform_calls_unknown_total", static_cast<double>(store.unknown));
-    line(out, "godwit_platform_in_reach", relay.state().platformInReach ? 1 : 0);
-    line(out, "godwit_live_routers", relay.state().liveRouters);
-    line(out, "godwit_log_lines_dropped_total", static_cast<double>(relay.log().dropped()));
+    appendMetric(out, "godwit_platform_calls_refused_total", static_cast<double>(store.refused));
+    appendMetric(out, "godwit_platform_calls_unknown_total", static_cast<double>(store.unknown));
+    appendMetric(out, "godwit_platform_in_reach", relay.state().platformInReach ? 1 : 0);
+    appendMetric(out, "godwit_live_routers", relay.state().liveRouters);
+    appendMetric(out, "godwit_log_lines_dropped_total", static_cast<double>(relay.log().dropped()));
     for (const auto &[customer, account] : relay.state().prepaid.accounts) {
         out << "godwit_budget_granted{customer=\"" << escapeLabel(customer.value) << "\"} " << account.granted << '\n';
         out << "godwit_budget_used{customer=\"" << escapeLabel(customer.value) << "\"} " << account.netUsed << '\n';
--- a/godwit/daemon/limit_share_keeper.cpp
+++ b/godwit/daemon/limit_share_manager.cpp
@@ -1,4 +1,4 @@
-#include "godwit/daemon/limit_share_keeper.h"
+#include "godwit/daemon/limit_share_manager.h"
 
 #include <algorithm>
 #include <charconv>
@@ -8,59 +8,59 @@
 namespace
 {
 
-std::map<int, StoredShare> standingShares(const std::vector<StoreItem> &items, std::size_t prefixLength)
+std::map<int, StoredShare> parseStoredShares(const std::vector<StoreItem> &items, std::size_t prefixLength)
 {
-    std::map<int, StoredShare> standing;
+    std::map<int, StoredShare> stored;
     for (const StoreItem &item : items) {
         int number = 0;
         const char *end = item.key.data() + item.key.size();
         const auto parsed = std::from_chars(item.key.data() + prefixLength, end, number);
         if (parsed.ec == std::errc() && parsed.ptr == end) {
-            standing[number] = {item.value, item.revision};
+            stored[number] = {item.value, item.revision};
         }
     }
-    return standing;
+    return stored;
 }
 
 } // namespace
 
-LimitShareKeeper::LimitShareKeeper(Relay &relay, StoreClient &store, LimitShareKeeperOptions options)
+LimitShareManager::LimitShareManager(Relay &relay, StoreClient &store, LimitShareManagerOptions options)
     : m_relay(relay)
     , m_store(store)
     , m_options(std::move(options))
 {
 }
 
-void LimitShareKeeper::step()
+void LimitShareManager::step()
 {
     RelayState &state = m_relay.state();
     LimitShares &shares = state.limitShares;
     const TimePoint now = Relay::now();
-    if (m_calling || shares.lease == 0 || !state.platformInReach || state.stage != RelayStage::Serving) {
+    if (m_callInFlight || shares.lease == 0 || !state.platformInReach || state.stage != RelayStage::Serving) {
         return;
     }
     if (shares.lease != std::exchange(m_lease, shares.lease)) {
-        m_nextCall = now + m_options.settle + byLot(m_options.settleSpread);
+        m_nextCall = now + m_options.settleDelay + randomDelay(m_options.settleJitter);
     }
     const AdvertisedRouters &group = state.senders;
-    const bool sends = std::find(group.routers.begin(), group.routers.end(), group.self) != group.routers.end();
-    if (now < m_nextCall || !sends) {
+    const bool isSender = std::find(group.routers.begin(), group.routers.end(), group.self) != group.routers.end();
+    if (now < m_nextCall || !isSender) {
         return;
     }
-    const int fair = fairShareCount(group.routers.size(), minShares(m_relay.options().retryRules));
-    const auto surplus = releaseSurplus(shares, m_relay.options().limitShares, fair);
+    const int fairShare = fairShareCount(group.routers.size(), minShares(m_relay.options().retryRules));
+    const auto surplus = releaseSurplus(shares, m_relay.options().limitShares, fairShare);
     if (!surplus.empty()) {
-        giveBack(surplus, fair);
-    } else if (needsShares(shares, fair)) {
-        readStanding(fair);
+        releaseShares(surplus, fairShare);
+    } else if (needsShares(shares, fairShare)) {
+        readStoredShares(fairShare);
     }
 }
 
-void LimitShareKeeper::readStanding(int fair)
+void LimitShareManager::readStoredShares(int fairShare)
 {
-    m_calling = true;
-    m_store.range(m_options.prefix, [this, fair, lease = m_lease](const StoreItemsReply &reply) {
-        m_calling = false;
+    m_callInFlight = true;
+    m_store.range(m_options.prefix, [this, fairShare, lease = m_lease](const StoreItemsReply &reply) {
+        m_callInFlight = false;
         const LimitShares &shares = m_relay.state().limitShares;
         if (reply.status != StoreStatus::Ok || shares.lease != lease) {
             retryLater();
@@ -68,49 +68,49 @@
         }
         const auto claims = planClaims(shares,
                                        m_relay.options().limitShares,
-                                       standingShares(reply.items, m_options.prefix.size()),
+                                       parseStoredShares(reply.items, m_options.prefix.size()),
                                        m_options.self,
-                                       fair,
-                                       firstNumber());
+                                       fairShare,
+                                       firstNumberToTry());
         if (claims.empty()) {
             retryLater();
             return;
         }
-        claim(claims, fair);
+        claim(claims, fairShare);
     });
 }
 
-void LimitShareKeeper::claim(const std::vector<ShareClaim> &claims, int fair)
+void LimitShareManager::claim(const std::vector<ShareClaim> &claims, int fairShare)
 {
-    m_calling = true;
+    m_callInFlight = true;
     StoreTransaction transaction;
     for (const ShareClaim &share : claims) {
         transaction.conditions.push_back({keyOf(share.number), share.revision});
         transaction.puts.push_back({keyOf(share.number), m_options.self, m_lease});
     }
-    m_store.transact(transaction, [this, claims, fair, lease = m_lease](const StoreWriteReply &reply) {
-        m_calling = false;
+    m_store.transact(transaction, [this, claims, fairShare, lease = m_lease](const StoreWriteReply &reply) {
+        m_callInFlight = false;
         LimitShares &shares = m_relay.state().limitShares;
         if (reply.status == StoreStatus::Ok && shares.lease == lease) {
             const RelayOptions &options = m_relay.options();
             const TimePoint usable = Relay::now() + options.retryRules.window + options.limitShares.maxSendDelay;
             addShares(shares, claims, reply.revision, usable);
             m_hadConflict = false;
-            logChange("claimed", claims.size(), fair);
+            logChange("claimed", claims.size(), fairShare);
         } else if (reply.status == StoreStatus::ConditionFailed) {
             m_hadConflict = true;
-            logChange("conflict", claims.size(), fair);
-            m_nextCall = Relay::now() + byLot(m_options.conflictSpread);
+            logChange("conflict", claims.size(), fairShare);
+            m_nextCall = Relay::now() + randomDelay(m_options.conflictJitter);
         } else {
             retryLater();
         }
     });
 }
 
-void LimitShareKeeper::giveBack(const std::vector<ShareClaim> &shares, int fair)
+void LimitShareManager::releaseShares(const std::vector<ShareClaim> &shares, int fairShare)
 {
-    m_calling = true;
-    logChange("returned", shares.size(), fair);
+    m_callInFlight = true;
+    logChange("returned", shares.size(), fairShare);
     StoreTransaction transaction;
     for (const ShareClaim &share : shares) {
         transaction.conditions.push_back({keyOf(share.number), share.revision});
@@ -118,19 +118,19 @@
     }
     // One that stays in the store after a lost call ends with the lease.
     m_store.transact(transaction, [this](const StoreWriteReply &) {
-        m_calling = false;
+        m_callInFlight = false;
     });
 }
 
-void LimitShareKeeper::retryLater()
+void LimitShareManager::retryLater()
 {
     const auto routers = static_cast<Duration::rep>(m_relay.state().senders.routers.size());
-    const Duration turn = m_options.retryInterval * std::max<Duration::rep>(1, routers);
-    m_nextCall = Relay::now() + turn / 2 + byLot(turn);
+    const Duration meanDelay = m_options.fleetRetryInterval * std::max<Duration::rep>(1, routers);
+    m_nextCall = Relay::now() + meanDelay / 2 + randomDelay(meanDelay);
 }
 
 // Routers that know of the same others begin at different numbers.
-int LimitShareKeeper::firstNumber() const
+int LimitShareManager::firstNumberToTry() const
 {
     if (m_hadConflict) {
         return static_cast<int>(m_relay.random() % static_cast<std::uint64_t>(LimitShareCount));
@@ -143,25 +143,25 @@
                             / std::max<std::ptrdiff_t>(1, static_cast<std::ptrdiff_t>(group.routers.size())));
 }
 
-Duration LimitShareKeeper::byLot(Duration most) const
+Duration LimitShareManager::randomDelay(Duration most) const
 {
-    const double lot = static_cast<double>(m_relay.random() % 1024) / 1024.0;
-    return std::chrono::duration_cast<Duration>(most * lot);
+    const double fraction = static_cast<double>(m_relay.random() % 1024) / 1024.0;
+    return std::chrono::duration_cast<Duration>(most * fraction);
 }
 
-std::string LimitShareKeeper::keyOf(int number) const
+std::string LimitShareManager::keyOf(int number) const
 {
     return m_options.prefix + std::to_string(number);
 }
 
-void LimitShareKeeper::logChange(std::string_view change, std::size_t count, int fair) const
+void LimitShareManager::logChange(std::string_view change, std::size_t count, int fairShare) const
 {
     const LimitShares &shares = m_relay.state().limitShares;
     m_relay.log().write("limit_shares",
                         {{"change", change},
                          {"count", static_cast<std::int64_t>(count)},
                          {"held", static_cast<std::int64_t>(shares.held.size())},
-                         {"fair", static_cast<std::int64_t>(fair)}});
+                         {"fair", static_cast<std::int64_t>(fairShare)}});
 }
 
 } // namespace Godwit
--- a/godwit/daemon/limit_share_keeper.h
+++ b/godwit/daemon/limit_share_manager.h
@@ -18,41 +18,41 @@
 namespace Godwit
 {
 
-struct LimitShareKeeperOptions
+struct LimitShareManagerOptions
 {
     std::string self; // The address that callers reach this router by.
     std::string prefix = "godwit/shares/";
     // Routers that start together hear of each other within this time, and claim one after another.
-    Duration settle = std::chrono::seconds(1);
-    Duration settleSpread = std::chrono::milliseconds(1500);
+    Duration settleDelay = std::chrono::seconds(1);
+    Duration settleJitter = std::chrono::milliseconds(1500);
     // After a claim that another router was faster with.
-    Duration conflictSpread = std::chrono::milliseconds(600);
+    Duration conflictJitter = std::chrono::milliseconds(600);
     // While shares are lacking, the routers together ask for them this often.
-    Duration retryInterval = std::chrono::milliseconds(600);
+    Duration fleetRetryInterval = std::chrono::milliseconds(600);
 };
 
-class LimitShareKeeper
+class LimitShareManager
 {
 public:
-    LimitShareKeeper(Relay &relay, StoreClient &store, LimitShareKeeperOptions options);
+    LimitShareManager(Relay &relay, StoreClient &store, LimitShareManagerOptions options);
 
     // Makes the call that is due, if any.
     void step();
 
 private:
-    void readStanding(int fair);
-    void claim(const std::vector<ShareClaim> &claims, int fair);
-    void giveBack(const std::vector<ShareClaim> &shares, int fair);
+    void readStoredShares(int fairShare);
+    void claim(const std::vector<ShareClaim> &claims, int fairShare);
+    void releaseShares(const std::vector<ShareClaim> &shares, int fairShare);
     void retryLater();
-    int firstNumber() const;
-    Duration byLot(Duration most) const;
+    int firstNumberToTry() const;
+    Duration randomDelay(Duration most) const;
     std::string keyOf(int number) const;
-    void logChange(std::string_view change, std::size_t count, int fair) const;
+    void logChange(std::string_view change, std::size_t count, int fairShare) const;
 
     Relay &m_relay;
     StoreClient &m_store;
-    LimitShareKeeperOptions m_options;
-    bool m_calling = false;
+    LimitShareManagerOptions m_options;
+    bool m_callInFlight = false;
     std::uint64_t m_lease = 0; // Under which the next call was timed.
     TimePoint m_nextCall;
     bool m_hadConflict = false;
--- a/godwit/daemon/suspect_keeper.cpp
+++ b/godwit/daemon/suspect_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "godwit/daemon/suspect_keeper.h"
+#include "godwit/daemon/suspect_coordinator.h"
 
 #include "godwit/relay/endpoint_probe.h"
 
@@ -9,88 +9,88 @@
 namespace
 {
 
-constexpr const char *FirstDeathsName = "first"; // No fingerprint.
+constexpr const char *FirstDeathsKeySuffix = "first"; // No fingerprint.
 
 } // namespace
 
-SuspectKeeper::SuspectKeeper(boost::asio::io_context &io,
-                             Relay &relay,
-                             StoreClient &store,
-                             SuspectKeeperOptions options)
+SuspectCoordinator::SuspectCoordinator(boost::asio::io_context &io,
+                                       Relay &relay,
+                                       StoreClient &store,
+                                       SuspectCoordinatorOptions options)
     : m_io(io)
     , m_relay(relay)
     , m_store(store)
     , m_options(std::move(options))
-    , m_firstDeaths(relay, store, m_options.prefix + FirstDeathsName)
+    , m_firstDeaths(relay, store, m_options.prefix + FirstDeathsKeySuffix)
 {
     m_relay.state().suspects.options = m_options.suspects;
-    m_relay.onInterrupted = [this](const InterruptedRequest &cut, std::function<void()> known) {
-        onCut(cut, std::move(known));
+    m_relay.onInterrupted = [this](const InterruptedRequest &interrupted, std::function<void()> resolved) {
+        onInterrupted(interrupted, std::move(resolved));
     };
-    m_relay.onTrialRequested = [this](const TrialRequest &wish, std::function<void(bool)> done) {
-        onTrialWanted(wish, std::move(done));
+    m_relay.onTrialRequested = [this](const TrialRequest &request, std::function<void(bool)> done) {
+        onTrialRequested(request, std::move(done));
     };
     m_relay.onTrialEnded = [this](std::uint64_t fingerprint) {
         onTrialEnded(fingerprint);
     };
     m_relay.onAnswerWithoutDeclaredEnd = [this](std::uint64_t fingerprint, const EndpointId &endpoint) {
-        onDoubtfulAnswer(fingerprint, endpoint);
+        onAnswerWithoutDeclaredEnd(fingerprint, endpoint);
     };
     m_relay.onCompleteAnswer = [this](std::uint64_t fingerprint) {
-        onWholeAnswer(fingerprint);
+        clearAnsweredRequest(fingerprint);
     };
 }
 
-void SuspectKeeper::noteContact()
+void SuspectCoordinator::updateConnectivity()
 {
-    m_relay.state().suspects.connectedToPeers = !hearsFleet || hearsFleet();
+    m_relay.state().suspects.connectedToPeers = !isConnectedToFleet || isConnectedToFleet();
 }
 
-void SuspectKeeper::onNotices(const std::vector<SuspectNotice> &notices)
+void SuspectCoordinator::onNotices(const std::vector<SuspectNotice> &notices)
 {
-    SuspectTracker &book = m_relay.state().suspects;
+    SuspectTracker &tracker = m_relay.state().suspects;
     const TimePoint now = Relay::now();
-    std::set<std::uint64_t> toJudge;
-    std::set<std::uint64_t> spokenFor;
+    std::set<std::uint64_t> toEvaluate;
+    std::set<std::uint64_t> answeredHere;
     for (const SuspectNotice &notice : notices) {
         const std::uint64_t fingerprint = notice.fingerprint;
         if (notice.status == SuspectStatus::Convicted) {
-            recordConviction(book, fingerprint, now + std::min(notice.refuseFor, book.options.refuseFor));
-            noteJudged(fingerprint);
+            recordConviction(tracker, fingerprint, now + std::min(notice.refuseFor, tracker.options.refuseFor));
+            noteConviction(fingerprint);
         } else if (notice.status == SuspectStatus::Cleared) {
             onCleared(fingerprint);
         } else {
-            noteToldDeath(notice);
+            recordReportedDeath(notice);
             const TimePoint at = now - notice.age;
-            if (wasAnsweredSince(m_relay.state().recentAnswers, fingerprint, at - m_options.answerClears)) {
-                spokenFor.insert(fingerprint);
+            if (wasAnsweredSince(m_relay.state().recentAnswers, fingerprint, at - m_options.recentAnswerWindow)) {
+                answeredHere.insert(fingerprint);
             }
-            if (attributableDeaths(book, fingerprint).size() >= book.options.deathsToConvict) {
-                toJudge.insert(fingerprint);
+            if (attributableDeaths(tracker, fingerprint).size() >= tracker.options.deathsToConvict) {
+                toEvaluate.insert(fingerprint);
             }
         }
     }
-    m_firstDeaths.onBookChanged();
-    if (!spokenFor.empty()) {
-        speakLater(std::move(spokenFor));
+    m_firstDeaths.onSuspectsChanged();
+    if (!answeredHere.empty()) {
+        scheduleClearance(std::move(answeredHere));
     }
-    if (!toJudge.empty()) {
-        judgeLater(std::move(toJudge));
+    if (!toEvaluate.empty()) {
+        scheduleEvaluation(std::move(toEvaluate));
     }
 }
 
 // Another router has been given its answer.
-void SuspectKeeper::onCleared(std::uint64_t fingerprint)
+void SuspectCoordinator::onCleared(std::uint64_t fingerprint)
 {
     clearAllEvidence(m_relay.state().suspects, fingerprint);
-    m_clearedAt[fingerprint] = Relay::now();
+    m_clearedByPeerAt[fingerprint] = Relay::now();
     const auto known = m_records.find(fingerprint);
-    if (known != m_records.end() && (known->second.writing || known->second.ownWrite)) {
+    if (known != m_records.end() && (known->second.writeInFlight || known->second.writtenHere)) {
         remove(fingerprint);
     }
 }
 
-void SuspectKeeper::noteToldDeath(const SuspectNotice &notice)
+void SuspectCoordinator::recordReportedDeath(const SuspectNotice &notice)
 {
     const TimePoint at = Relay::now() - notice.age;
     InFlightRun run;
@@ -103,10 +103,10 @@
 }
 
 // Many routers may have answered them: one that speaks first spares the others.
-void SuspectKeeper::speakLater(std::set<std::uint64_t> fingerprints)
+void SuspectCoordinator::scheduleClearance(std::set<std::uint64_t> fingerprints)
 {
-    const double lot = static_cast<double>(m_relay.random() % 1024) / 1024.0;
-    const auto wait = std::chrono::duration_cast<Duration>(m_options.speakWithin * lot);
+    const double fraction = static_cast<double>(m_relay.random() % 1024) / 1024.0;
+    const auto wait = std::chrono::duration_cast<Duration>(m_options.maxClearanceDelay * fraction);
     auto timer = std::make_shared<boost::asio::steady_timer>(m_io, wait);
     timer->async_wait([this, timer, fingerprints = std::move(fingerprints)](const boost::system::error_code &error) {
         if (error) {
@@ -114,14 +114,14 @@
         }
         for (const std::uint64_t fingerprint : fingerprints) {
             if (m_relay.state().suspects.deathCount.count(fingerprint) != 0) {
-                onWholeAnswer(fingerprint);
+                clearAnsweredRequest(fingerprint);
             }
         }
-        tellCleared();
+        broadcastClearances();
     });
 }
 
-void SuspectKeeper::onWholeAnswer(std::uint64_t fingerprint)
+void SuspectCoordinator::clearAnsweredRequest(std::uint64_t fingerprint)
 {
     RelayState &state = m_relay.state();
     forgetInterruptionsOf(state.crashWatch, fingerprint);
@@ -134,16 +134,16 @@
     }
     clearAllEvidence(state.suspects, fingerprint);
     ++m_relay.counters().suspectsCleared;
-    m_cleared.insert(fingerprint);
+    m_unsentClearances.insert(fingerprint);
     if (recorded) {
-        tellCleared();
-        logRequest("suspect_cleared", fingerprint);
+        broadcastClearances();
+        logSuspect("suspect_cleared", fingerprint);
         remove(fingerprint);
     }
-    noteTrialEndpoints();
+    updateTrialEndpoints();
 }
 
-void SuspectKeeper::onDoubtfulAnswer(std::uint64_t fingerprint, const EndpointId &endpoint)
+void SuspectCoordinator::onAnswerWithoutDeclaredEnd(std::uint64_t fingerprint, const EndpointId &endpoint)
 {
     const auto &endpoints = m_relay.state().endpoints.endpoints;
     const auto found = endpoints.find(endpoint);
@@ -151,75 +151,75 @@
         || verdictFor(m_relay.state().suspects, fingerprint, Relay::now()) == Verdict::Unsuspected) {
         return;
     }
-    const auto onPort = [this, fingerprint](ProbeOutcome outcome) {
+    const auto onProbed = [this, fingerprint](ProbeOutcome outcome) {
         if (outcome == ProbeOutcome::Accepts) {
-            onWholeAnswer(fingerprint);
+            clearAnsweredRequest(fingerprint);
         }
     };
-    probeEndpoint(m_io, found->second.listed.address, m_options.probeLimit, onPort);
+    probeEndpoint(m_io, found->second.listed.address, m_options.probeTimeout, onProbed);
 }
 
-void SuspectKeeper::tellCleared()
+void SuspectCoordinator::broadcastClearances()
 {
     std::vector<SuspectNotice> notices;
-    for (const std::uint64_t fingerprint : std::exchange(m_cleared, {})) {
+    for (const std::uint64_t fingerprint : std::exchange(m_unsentClearances, {})) {
         SuspectNotice notice;
         notice.fingerprint = fingerprint;
         notice.status = SuspectStatus::Cleared;
         notices.push_back(std::move(notice));
     }
-    if (tell && !notices.empty()) {
-        tell(notices);
+    if (broadcast && !notices.empty()) {
+        broadcast(notices);
     }
 }
 
-void SuspectKeeper::step()
+void SuspectCoordinator::step()
 {
     const TimePoint now = Relay::now();
     removeExpiredSuspects(m_relay.state().suspects, now);
     if (m_labels.size() >= m_options.maxLabels) {
         m_labels.clear();
     }
-    noteContact();
-    tellCleared();
-    onListed();
-    m_firstDeaths.onBookChanged();
-    for (auto it = m_clearedAt.begin(); it != m_clearedAt.end();) {
-        it = now >= it->second + m_options.copyLag ? m_clearedAt.erase(it) : std::next(it);
+    updateConnectivity();
+    broadcastClearances();
+    onEndpointsChanged();
+    m_firstDeaths.onSuspectsChanged();
+    for (auto it = m_clearedByPeerAt.begin(); it != m_clearedByPeerAt.end();) {
+        it = now >= it->second + m_options.maxCopyLag ? m_clearedByPeerAt.erase(it) : std::next(it);
     }
-    for (auto it = m_judged.begin(); it != m_judged.end();) {
+    for (auto it = m_deathsAtConviction.begin(); it != m_deathsAtConviction.end();) {
         const bool over = m_records.count(it->first) == 0
             && remainingRefusal(m_relay.state().suspects, it->first, now) == Duration::zero();
-        it = over ? m_judged.erase(it) : std::next(it);
+        it = over ? m_deathsAtConviction.erase(it) : std::next(it);
     }
     if (!m_relay.state().platformInReach) {
         return;
     }
-    for (const std::uint64_t fingerprint : std::exchange(m_unremoved, {})) {
+    for (const std::uint64_t fingerprint : std::exchange(m_pendingRemovals, {})) {
         remove(fingerprint);
     }
-    for (const std::uint64_t fingerprint : std::exchange(m_unwritten, {})) {
-        keepRecord(fingerprint);
+    for (const std::uint64_t fingerprint : std::exchange(m_pendingWrites, {})) {
+        updateRecord(fingerprint);
     }
     for (auto it = m_records.begin(); it != m_records.end();) {
         const auto &[fingerprint, known] = *it;
-        const auto sound = attributableDeaths(m_relay.state().suspects, fingerprint);
+        const auto attributed = attributableDeaths(m_relay.state().suspects, fingerprint);
         // One that shared its deaths with another may be told apart now that the other has been answered.
-        if (!sound.empty() && now >= sound.back()->at + m_options.suspects.coincidenceWindow) {
-            judgeNow(fingerprint);
+        if (!attributed.empty() && now >= attributed.back()->at + m_options.suspects.coincidenceWindow) {
+            evaluate(fingerprint);
         }
-        const bool unused = known.revision == 0 && !known.writing && sound.empty();
+        const bool unused = known.revision == 0 && !known.writeInFlight && attributed.empty();
         it = unused ? m_records.erase(it) : std::next(it);
     }
     for (const auto &[fingerprint, known] : m_records) {
-        if (known.revision != 0 && now > known.seenAt + m_options.suspects.retention) {
+        if (known.revision != 0 && now > known.firstSeenAt + m_options.suspects.retention) {
             remove(fingerprint);
             return;
         }
     }
 }
 
-void SuspectKeeper::logRequest(std::string_view event, std::uint64_t fingerprint)
+void SuspectCoordinator::logSuspect(std::string_view event, std::uint64_t fingerprint)
 {
     const SuspectRecord record = recordOf(fingerprint);
     const std::string text = formatFingerprint(fingerprint);
--- a/godwit/daemon/suspect_deaths.cpp
+++ b/godwit/daemon/suspect_deaths.cpp
@@ -1,6 +1,6 @@
 // Suspects: which endpoints have died under which requests, and who is condemned for it.
 
-#include "godwit/daemon/suspect_keeper.h"
+#include "godwit/daemon/suspect_coordinator.h"
 
 #include "godwit/base/enum_names.h"
 #include "godwit/relay/endpoint_probe.h"
@@ -21,65 +21,66 @@
 
 } // namespace
 
-void SuspectKeeper::onCut(const InterruptedRequest &cut, std::function<void()> known)
+void SuspectCoordinator::onInterrupted(const InterruptedRequest &interrupted, std::function<void()> resolved)
 {
-    const EndpointState *endpoint = findIncarnation(m_relay.state().endpoints, cut.endpoint, cut.start);
+    const EndpointState *endpoint = findIncarnation(m_relay.state().endpoints, interrupted.endpoint, interrupted.start);
     if (endpoint == nullptr || !acceptsNewRequests(*endpoint)) {
         // It ends as planned.
-        if (cut.run.trial) {
-            onTrialEnded(cut.run.fingerprint);
+        if (interrupted.run.trial) {
+            onTrialEnded(interrupted.run.fingerprint);
         }
-        known();
+        resolved();
         return;
     }
     if (m_labels.size() < m_options.maxLabels) {
-        m_labels[cut.run.fingerprint] = cut.label;
+        m_labels[interrupted.run.fingerprint] = interrupted.label;
     }
-    auto &waiting = m_waiting[cut.endpoint];
-    waiting.push_back(std::move(known));
+    auto &waiting = m_waiters[interrupted.endpoint];
+    waiting.push_back(std::move(resolved));
     if (waiting.size() == 1) {
-        auto timer = std::make_shared<boost::asio::steady_timer>(m_io, m_options.knownWithin);
-        timer->async_wait([this, timer, id = cut.endpoint](const boost::system::error_code &error) {
+        auto timer = std::make_shared<boost::asio::steady_timer>(m_io, m_options.crashCheckTimeout);
+        timer->async_wait([this, timer, id = interrupted.endpoint](const boost::system::error_code &error) {
             if (!error) {
-                releaseWaiting(id);
+                releaseWaiters(id);
             }
         });
     }
     CrashDetector &watch = m_relay.state().crashWatch;
-    if (recordInterruption(watch, endpoint->listed, cut.run)) {
-        askPort(watch.interruptions.at(cut.endpoint));
+    if (recordInterruption(watch, endpoint->listed, interrupted.run)) {
+        probePort(watch.interruptions.at(interrupted.endpoint));
     }
 }
 
-void SuspectKeeper::askPort(const EndpointInterruptions &cuts)
+void SuspectCoordinator::probePort(const EndpointInterruptions &interruptions)
 {
-    probeEndpoint(m_io, cuts.address, m_options.probeLimit, [this, id = cuts.id](ProbeOutcome outcome) {
-        CrashDetector &watch = m_relay.state().crashWatch;
-        if (outcome != ProbeOutcome::Refuses) {
-            for (const InterruptedAttempt &run : recordNoCrash(watch, id)) {
-                onTrialEnded(run.fingerprint);
+    probeEndpoint(
+        m_io, interruptions.address, m_options.probeTimeout, [this, id = interruptions.id](ProbeOutcome outcome) {
+            CrashDetector &watch = m_relay.state().crashWatch;
+            if (outcome != ProbeOutcome::Refuses) {
+                for (const InterruptedAttempt &run : recordNoCrash(watch, id)) {
+                    onTrialEnded(run.fingerprint);
+                }
+            } else if (const auto death = takeCrash(watch, id)) {
+                onDeath(*death, "port_refuses");
             }
-        } else if (const auto death = takeCrash(watch, id)) {
-            onDeath(*death, "port_refuses");
-        }
-        releaseWaiting(id);
-    });
+            releaseWaiters(id);
+        });
 }
 
-void SuspectKeeper::releaseWaiting(const EndpointId &endpoint)
+void SuspectCoordinator::releaseWaiters(const EndpointId &endpoint)
 {
-    const auto found = m_waiting.find(endpoint);
-    if (found == m_waiting.end()) {
+    const auto found = m_waiters.find(endpoint);
+    if (found == m_waiters.end()) {
         return;
     }
     const auto waiting = std::move(found->second);
-    m_waiting.erase(found);
-    for (const auto &known : waiting) {
-        known();
+    m_waiters.erase(found);
+    for (const auto &resolved : waiting) {
+        resolved();
     }
 }
 
-void SuspectKeeper::onListed()
+void SuspectCoordinator::onEndpointsChanged()
 {
     CrashDetector &watch = m_relay.state().crashWatch;
     if (watch.interruptions.empty()) {
@@ -96,71 +97,71 @@
     }
 }
 
-void SuspectKeeper::onDeath(const EndpointInterruptions &death, std::string_view sign)
+void SuspectCoordinator::onDeath(const EndpointInterruptions &death, std::string_view sign)
 {
-    SuspectTracker &book = m_relay.state().suspects;
+    SuspectTracker &tracker = m_relay.state().suspects;
     const TimePoint now = Relay::now();
-    removeExpiredSuspects(book, now);
-    noteContact();
-    const EndpointDeath noted{death.id, {}, death.dataCentre, death.probedSince, {}};
+    removeExpiredSuspects(tracker, now);
+    updateConnectivity();
+    const EndpointDeath endpointDeath{death.id, {}, death.dataCentre, death.probedSince, {}};
     std::set<std::uint64_t> fingerprints;
     std::vector<SuspectNotice> notices;
     for (const InterruptedAttempt &run : death.attempts) {
         if (run.trial) {
             m_ownTrials.erase(run.fingerprint);
         }
-        const bool answeredLately =
-            wasAnsweredSince(m_relay.state().recentAnswers, run.fingerprint, noted.at - m_options.answerClears);
-        if (answeredLately) {
+        const bool recentlyAnswered = wasAnsweredSince(
+            m_relay.state().recentAnswers, run.fingerprint, endpointDeath.at - m_options.recentAnswerWindow);
+        if (recentlyAnswered) {
             if (run.trial) {
-                keepRecord(run.fingerprint);
+                updateRecord(run.fingerprint);
             }
             continue;
         }
         fingerprints.insert(run.fingerprint);
-        const bool byItself = run.trial && book.connectedToPeers;
-        if (!recordSuspect(book, noted, run.fingerprint, {run.sentAt, byItself, byItself})) {
+        const bool isolatedTrial = run.trial && tracker.connectedToPeers;
+        if (!recordSuspect(tracker, endpointDeath, run.fingerprint, {run.sentAt, isolatedTrial, isolatedTrial})) {
             continue;
         }
         SuspectNotice notice;
         notice.fingerprint = run.fingerprint;
         notice.endpoint = death.id;
         notice.dataCentre = death.dataCentre;
-        notice.age = now - noted.at;
-        notice.ranFor = std::max(Duration::zero(), noted.at - run.sentAt);
-        notice.trial = byItself;
+        notice.age = now - endpointDeath.at;
+        notice.ranFor = std::max(Duration::zero(), endpointDeath.at - run.sentAt);
+        notice.trial = isolatedTrial;
         notices.push_back(std::move(notice));
     }
     ++m_relay.counters().endpointDeaths[death.service];
     logDeath(death, sign);
     // When many endpoints die at once nobody there is to blame, and telling of all would flood the routers.
-    if (!isWidespreadFailure(book, noted.at)) {
+    if (!isWidespreadFailure(tracker, endpointDeath.at)) {
         notices.resize(std::min(notices.size(), m_options.maxNoticesPerDeath));
-        if (tell && !notices.empty()) {
-            tell(notices);
+        if (broadcast && !notices.empty()) {
+            broadcast(notices);
         }
     }
     for (const std::uint64_t fingerprint : fingerprints) {
-        keepRecord(fingerprint);
+        updateRecord(fingerprint);
     }
-    m_firstDeaths.onBookChanged();
-    noteTrialEndpoints();
-    judgeLater(std::move(fingerprints));
+    m_firstDeaths.onSuspectsChanged();
+    updateTrialEndpoints();
+    scheduleEvaluation(std::move(fingerprints));
 }
 
 // Each request with the deaths that count against it and what is believed of it.
-void SuspectKeeper::logDeath(const EndpointInterruptions &death, std::string_view sign) const
+void SuspectCoordinator::logDeath(const EndpointInterruptions &death, std::string_view sign) const
 {
-    const SuspectTracker &book = m_relay.state().suspects;
+    const SuspectTracker &tracker = m_relay.state().suspects;
     std::string requests;
-    for (std::size_t i = 0; i < std::min(death.attempts.size(), m_options.maxShown); ++i) {
+    for (std::size_t i = 0; i < std::min(death.attempts.size(), m_options.maxLoggedRequests); ++i) {
         const std::uint64_t fingerprint = death.attempts[i].fingerprint;
         requests.append(requests.empty() ? "" : " ")
             .append(formatFingerprint(fingerprint))
             .append(1, ':')
-            .append(std::to_string(attributableDeaths(book, fingerprint).size()))
+            .append(std::to_string(attributableDeaths(tracker, fingerprint).size()))
             .append(1, ':')
-            .append(enumName(VerdictNames, verdictFor(book, fingerprint, Relay::now())));
+            .append(enumName(VerdictNames, verdictFor(tracker, fingerprint, Relay::now())));
     }
     m_relay.log().write("endpoint_died",
                         {{"endpoint", std::string_view(death.id.value)},
@@ -171,7 +172,7 @@
                          {"requests", std::string_view(requests)}});
 }
 
-void SuspectKeeper::judgeLater(std::set<std::uint64_t> fingerprints)
+void SuspectCoordinator::scheduleEvaluation(std::set<std::uint64_t> fingerprints)
 {
     auto timer = std::make_shared<boost::asio::steady_timer>(m_io, m_options.suspects.coincidenceWindow);
     timer->async_wait([this, timer, fingerprints = std::move(fingerprints)](const boost::system::error_code &error) {
@@ -179,39 +180,40 @@
             return;
         }
         for (const std::uint64_t fingerprint : fingerprints) {
-            judgeNow(fingerprint);
+            evaluate(fingerprint);
         }
     });
 }
 
-void SuspectKeeper::judgeNow(std::uint64_t fingerprint)
+void SuspectCoordinator::evaluate(std::uint64_t fingerprint)
 {
-    SuspectTracker &book = m_relay.state().suspects;
+    SuspectTracker &tracker = m_relay.state().suspects;
     const TimePoint now = Relay::now();
-    noteContact();
-    const auto judged = m_judged.find(fingerprint);
-    const bool nothingNew = judged != m_judged.end() && attributableDeaths(book, fingerprint).size() <= judged->second;
-    if (nothingNew || remainingRefusal(book, fingerprint, now) > Duration::zero()
-        || evaluateSuspect(book, fingerprint, now) != Verdict::Convicted) {
+    updateConnectivity();
+    const auto convicted = m_deathsAtConviction.find(fingerprint);
+    const bool noNewDeaths =
+        convicted != m_deathsAtConviction.end() && attributableDeaths(tracker, fingerprint).size() <= convicted->second;
+    if (noNewDeaths || remainingRefusal(tracker, fingerprint, now) > Duration::zero()
+        || evaluateSuspect(tracker, fingerprint, now) != Verdict::Convicted) {
         return;
     }
-    noteJudged(fingerprint);
+    noteConviction(fingerprint);
     ++m_relay.counters().convictions;
-    logRequest("suspect_convicted", fingerprint);
+    logSuspect("suspect_convicted", fingerprint);
     SuspectNotice notice;
     notice.fingerprint = fingerprint;
     notice.status = SuspectStatus::Convicted;
-    notice.refuseFor = remainingRefusal(book, fingerprint, now);
-    if (tell) {
-        tell({notice});
+    notice.refuseFor = remainingRefusal(tracker, fingerprint, now);
+    if (broadcast) {
+        broadcast({notice});
     }
-    keepRecord(fingerprint);
+    updateRecord(fingerprint);
 }
 
 // A verdict that has ended is given again for a further death only.
-void SuspectKeeper::noteJudged(std::uint64_t fingerprint)
+void SuspectCoordinator::noteConviction(std::uint64_t fingerprint)
 {
-    m_judged[fingerprint] = attributableDeaths(m_relay.state().suspects, fingerprint).size();
+    m_deathsAtConviction[fingerprint] = attributableDeaths(m_relay.state().suspects, fingerprint).size();
 }
 
 } // namespace Godwit
--- a/godwit/daemon/suspect_records.cpp
+++ b/godwit/daemon/suspect_records.cpp
@@ -1,6 +1,6 @@
 // Suspects: their records in the platform's store.
 
-#include "godwit/daemon/suspect_keeper.h"
+#include "godwit/daemon/suspect_coordinator.h"
 
 #include <algorithm>
 
@@ -10,20 +10,20 @@
 {
 
 // With so many deaths a request is worth a record: the next run of it is a trial.
-std::size_t deathsToRecord(const SuspectTracker &book)
+std::size_t deathsToRecord(const SuspectTracker &tracker)
 {
-    return book.options.deathsToConvict - 1;
+    return tracker.options.deathsToConvict - 1;
 }
 
 } // namespace
 
-void SuspectKeeper::keepRecord(std::uint64_t fingerprint)
+void SuspectCoordinator::updateRecord(std::uint64_t fingerprint)
 {
-    const SuspectTracker &book = m_relay.state().suspects;
+    const SuspectTracker &tracker = m_relay.state().suspects;
     const auto found = m_records.find(fingerprint);
     const bool recorded = found != m_records.end() && found->second.revision != 0;
-    const bool worthIt = attributableDeaths(book, fingerprint).size() >= deathsToRecord(book);
-    if (!recorded && !worthIt) {
+    const bool worthRecording = attributableDeaths(tracker, fingerprint).size() >= deathsToRecord(tracker);
+    if (!recorded && !worthRecording) {
         return;
     }
     const SuspectRecord record = recordOf(fingerprint);
@@ -31,18 +31,18 @@
         ++m_relay.counters().suspectsUnrecorded;
         return;
     }
-    if (m_records[fingerprint].writing) {
-        m_unwritten.insert(fingerprint);
+    if (m_records[fingerprint].writeInFlight) {
+        m_pendingWrites.insert(fingerprint);
         return;
     }
     write(fingerprint, record, [this, fingerprint](StoreStatus status) {
         if (status != StoreStatus::Ok) {
-            m_unwritten.insert(fingerprint);
+            m_pendingWrites.insert(fingerprint);
         }
     });
 }
 
-bool SuspectKeeper::hasRoomFor(const SuspectLabel &label) const
+bool SuspectCoordinator::hasRoomFor(const SuspectLabel &label) const
 {
     const auto ofCustomer = std::count_if(m_records.begin(), m_records.end(), [&label](const auto &entry) {
         return entry.second.record.label.customer == label.customer;
@@ -51,9 +51,9 @@
         && static_cast<std::size_t>(ofCustomer) < m_options.maxRecordsPerCustomer;
 }
 
-SuspectRecord SuspectKeeper::recordOf(std::uint64_t fingerprint)
+SuspectRecord SuspectCoordinator::recordOf(std::uint64_t fingerprint)
 {
-    const SuspectTracker &book = m_relay.state().suspects;
+    const SuspectTracker &tracker = m_relay.state().suspects;
     SuspectRecord record;
     const auto known = m_records.find(fingerprint);
     if (known != m_records.end() && known->second.revision != 0) {
@@ -62,12 +62,12 @@
         record.label = label->second;
     }
     record.deaths.clear();
-    for (const EndpointDeath *death : attributableDeaths(book, fingerprint)) {
+    for (const EndpointDeath *death : attributableDeaths(tracker, fingerprint)) {
         record.deaths.push_back({death->endpoint,
                                  runTime(*death, fingerprint).value_or(Duration::zero()),
-                                 isIsolatedTrial(book, *death, fingerprint)});
+                                 isIsolatedTrial(tracker, *death, fingerprint)});
     }
-    record.convicted = remainingRefusal(book, fingerprint, Relay::now()) > Duration::zero();
+    record.convicted = remainingRefusal(tracker, fingerprint, Relay::now()) > Duration::zero();
     const auto own = m_ownTrials.find(fingerprint);
     if (own != m_ownTrials.end()) {
         record.trial = SuspectTrial{m_options.self, own->second};
@@ -84,73 +84,75 @@
     return record;
 }
 
-void SuspectKeeper::write(std::uint64_t fingerprint, const SuspectRecord &record, std::function<void(StoreStatus)> done)
+void SuspectCoordinator::write(std::uint64_t fingerprint,
+                               const SuspectRecord &record,
+                               std::function<void(StoreStatus)> done)
 {
     KnownRecord &known = m_records[fingerprint];
-    known.writing = true;
+    known.writeInFlight = true;
     StoreTransaction transaction;
     transaction.conditions.push_back({keyOf(fingerprint), known.revision});
     transaction.puts.push_back({keyOf(fingerprint), encodeSuspectRecord(record), 0});
     m_store.transact(transaction, [this, fingerprint, record, done = std::move(done)](const StoreWriteReply &reply) {
         KnownRecord &written = m_records[fingerprint];
-        written.writing = false;
+        written.writeInFlight = false;
         if (reply.status == StoreStatus::Ok) {
             written.record = record;
             written.revision = reply.revision;
-            written.seenAt = Relay::now();
+            written.firstSeenAt = Relay::now();
             written.inCopy = false;
-            written.ownWrite = true;
+            written.writtenHere = true;
         } else if (reply.status == StoreStatus::ConditionFailed) {
-            takeStanding(fingerprint, reply);
+            adoptCurrentRecord(fingerprint, reply);
         }
         done(reply.status);
     });
 }
 
-void SuspectKeeper::remove(std::uint64_t fingerprint)
+void SuspectCoordinator::remove(std::uint64_t fingerprint)
 {
     KnownRecord &known = m_records[fingerprint];
-    if (known.writing) {
-        m_unremoved.insert(fingerprint);
+    if (known.writeInFlight) {
+        m_pendingRemovals.insert(fingerprint);
         return;
     }
-    known.writing = true;
+    known.writeInFlight = true;
     StoreTransaction transaction;
     transaction.conditions.push_back({keyOf(fingerprint), known.revision});
     transaction.removals.push_back(keyOf(fingerprint));
     m_store.transact(transaction, [this, fingerprint](const StoreWriteReply &reply) {
-        m_records[fingerprint].writing = false;
+        m_records[fingerprint].writeInFlight = false;
         if (reply.status == StoreStatus::Ok) {
             forgetRecord(fingerprint, reply.revision);
             return;
         }
         if (reply.status == StoreStatus::ConditionFailed) {
-            takeStanding(fingerprint, reply);
+            adoptCurrentRecord(fingerprint, reply);
         }
         if (m_records.count(fingerprint) != 0) {
-            m_unremoved.insert(fingerprint);
+            m_pendingRemovals.insert(fingerprint);
         }
     });
 }
 
-void SuspectKeeper::takeStanding(std::uint64_t fingerprint, const StoreWriteReply &reply)
+void SuspectCoordinator::adoptCurrentRecord(std::uint64_t fingerprint, const StoreWriteReply &reply)
 {
     if (!reply.currentItems) {
         return;
     }
     for (const StoreItem &item : *reply.currentItems) {
         if (item.key == keyOf(fingerprint)) {
-            take(fingerprint, item);
+            adoptRecord(fingerprint, item);
             return;
         }
     }
     m_records[fingerprint].revision = 0;
 }
 
-void SuspectKeeper::take(std::uint64_t fingerprint, const StoreItem &item)
+void SuspectCoordinator::adoptRecord(std::uint64_t fingerprint, const StoreItem &item)
 {
-    const auto removed = m_removedAt.find(fingerprint);
-    if (removed != m_removedAt.end() && item.revision <= removed->second) {
+    const auto removed = m_removedRevisions.find(fingerprint);
+    if (removed != m_removedRevisions.end() && item.revision <= removed->second) {
         return;
     }
     const auto known = m_records.find(fingerprint);
@@ -166,11 +168,11 @@
     KnownRecord &taken = m_records[fingerprint];
     taken.record = *record;
     taken.revision = item.revision;
-    taken.seenAt = now;
-    taken.ownWrite = false;
-    SuspectTracker &book = m_relay.state().suspects;
+    taken.firstSeenAt = now;
+    taken.writtenHere = false;
+    SuspectTracker &tracker = m_relay.state().suspects;
     // Before all that comes from here on, and one after another.
-    TimePoint at = now - book.options.coincidenceWindow;
+    TimePoint at = now - tracker.options.coincidenceWindow;
     for (auto death = record->deaths.rbegin(); death != record->deaths.rend(); ++death) {
         at -= std::chrono::seconds(1);
         InFlightRun run;
@@ -179,67 +181,67 @@
         if (death->ranFor > Duration::zero()) {
             run.sentAt = at - death->ranFor;
         }
-        if (!wasInFlightAtDeathOf(book, fingerprint, death->endpoint, {})) {
-            recordSuspect(book, {death->endpoint, {}, {}, at, {}}, fingerprint, run);
+        if (!wasInFlightAtDeathOf(tracker, fingerprint, death->endpoint, {})) {
+            recordSuspect(tracker, {death->endpoint, {}, {}, at, {}}, fingerprint, run);
         }
         at -= death->ranFor;
     }
-    if (record->convicted && remainingRefusal(book, fingerprint, now) == Duration::zero()) {
-        recordConviction(book, fingerprint, now + refusalDurationFor(book, fingerprint));
-        noteJudged(fingerprint);
+    if (record->convicted && remainingRefusal(tracker, fingerprint, now) == Duration::zero()) {
+        recordConviction(tracker, fingerprint, now + refusalDurationFor(tracker, fingerprint));
+        noteConviction(fingerprint);
     }
 }
 
-void SuspectKeeper::onRecords(const std::map<std::string, StoreItem> &items)
+void SuspectCoordinator::onRecords(const std::map<std::string, StoreItem> &items)
 {
     std::map<std::uint64_t, std::uint64_t> revisions;
     for (const auto &[key, item] : items) {
         m_firstDeaths.onItem(item);
         if (const auto fingerprint = parseFingerprint(key.substr(std::min(key.size(), m_options.prefix.size())))) {
             revisions[*fingerprint] = item.revision;
-            if (!wasClearedLately(*fingerprint)) {
-                take(*fingerprint, item);
+            if (!wasRecentlyCleared(*fingerprint)) {
+                adoptRecord(*fingerprint, item);
             }
         }
     }
-    std::vector<std::uint64_t> gone;
+    std::vector<std::uint64_t> removed;
     for (auto &[fingerprint, known] : m_records) {
         const auto found = revisions.find(fingerprint);
         if (found != revisions.end()) {
             known.inCopy = found->second == known.revision;
-        } else if (known.inCopy && !known.writing) {
-            gone.push_back(fingerprint);
+        } else if (known.inCopy && !known.writeInFlight) {
+            removed.push_back(fingerprint);
         }
     }
-    for (const std::uint64_t fingerprint : gone) {
+    for (const std::uint64_t fingerprint : removed) {
         // An operator or another router has lifted it.
-        logRequest("suspect_lifted", fingerprint);
+        logSuspect("suspect_lifted", fingerprint);
         clearAllEvidence(m_relay.state().suspects, fingerprint);
         forgetRecord(fingerprint, m_records.at(fingerprint).revision);
     }
-    noteTrialEndpoints();
+    updateTrialEndpoints();
 }
 
 // The copy of the store may still have the record of what another router has just cleared.
-bool SuspectKeeper::wasClearedLately(std::uint64_t fingerprint) const
+bool SuspectCoordinator::wasRecentlyCleared(std::uint64_t fingerprint) const
 {
-    const auto found = m_clearedAt.find(fingerprint);
-    return found != m_clearedAt.end() && Relay::now() < found->second + m_options.copyLag;
+    const auto found = m_clearedByPeerAt.find(fingerprint);
+    return found != m_clearedByPeerAt.end() && Relay::now() < found->second + m_options.maxCopyLag;
 }
 
-void SuspectKeeper::forgetRecord(std::uint64_t fingerprint, std::uint64_t revision)
+void SuspectCoordinator::forgetRecord(std::uint64_t fingerprint, std::uint64_t revision)
 {
     m_records.erase(fingerprint);
-    m_judged.erase(fingerprint);
-    m_unwritten.erase(fingerprint);
-    m_unremoved.erase(fingerprint);
-    if (m_removedAt.size() >= m_options.maxRecords) {
-        m_removedAt.erase(m_removedAt.begin());
+    m_deathsAtConviction.erase(fingerprint);
+    m_pendingWrites.erase(fingerprint);
+    m_pendingRemovals.erase(fingerprint);
+    if (m_removedRevisions.size() >= m_options.maxRecords) {
+        m_removedRevisions.erase(m_removedRevisions.begin());
     }
-    m_removedAt[fingerprint] = revision;
+    m_removedRevisions[fingerprint] = revision;
 }
 
-std::string SuspectKeeper::keyOf(std::uint64_t fingerprint) const
+std::string SuspectCoordinator::keyOf(std::uint64_t fingerprint) const
 {
     return m_options.prefix + formatFingerprint(fingerprint);
 }
--- a/godwit/daemon/suspect_trials.cpp
+++ b/godwit/daemon/suspect_trials.cpp
@@ -1,17 +1,17 @@
 // Suspects: one run of each at a time, by one router of the fleet.
 
-#include "godwit/daemon/suspect_keeper.h"
+#include "godwit/daemon/suspect_coordinator.h"
 
 #include <utility>
 
 namespace Godwit
 {
 
-void SuspectKeeper::onTrialWanted(const TrialRequest &wish, std::function<void(bool)> done)
+void SuspectCoordinator::onTrialRequested(const TrialRequest &request, std::function<void(bool)> done)
 {
-    const auto timer = std::make_shared<boost::asio::steady_timer>(m_io, m_options.grantWithin);
+    const auto timer = std::make_shared<boost::asio::steady_timer>(m_io, m_options.trialGrantTimeout);
     const auto answer = std::make_shared<std::function<void(bool)>>(std::move(done));
-    const auto answerOnce = [this, timer, answer, fingerprint = wish.fingerprint](bool granted) {
+    const auto answerOnce = [this, timer, answer, fingerprint = request.fingerprint](bool granted) {
         if (const auto waiting = std::exchange(*answer, {})) {
             timer->cancel();
             ++(granted ? m_relay.counters().trials : m_relay.counters().trialsDenied);
@@ -25,40 +25,40 @@
             answerOnce(false);
         }
     });
-    claimTrial(wish, answerOnce);
+    claimTrial(request, answerOnce);
 }
 
-void SuspectKeeper::claimTrial(const TrialRequest &wish, std::function<void(bool)> done)
+void SuspectCoordinator::claimTrial(const TrialRequest &request, std::function<void(bool)> done)
 {
-    const std::uint64_t fingerprint = wish.fingerprint;
-    m_labels.emplace(fingerprint, wish.label);
-    const bool hasRoom = m_records.count(fingerprint) != 0 || hasRoomFor(wish.label);
+    const std::uint64_t fingerprint = request.fingerprint;
+    m_labels.emplace(fingerprint, request.label);
+    const bool hasRoom = m_records.count(fingerprint) != 0 || hasRoomFor(request.label);
     if (!m_relay.state().platformInReach || !hasRoom) {
         done(false);
         return;
     }
     KnownRecord &known = m_records[fingerprint];
-    if (known.writing || !mayClaim(fingerprint, known)) {
+    if (known.writeInFlight || !mayClaim(fingerprint, known)) {
         done(false);
         return;
     }
     SuspectRecord record = recordOf(fingerprint);
     record.convicted = false;
-    record.trial = SuspectTrial{m_options.self, wish.endpoint};
-    m_ownTrials[fingerprint] = wish.endpoint;
+    record.trial = SuspectTrial{m_options.self, request.endpoint};
+    m_ownTrials[fingerprint] = request.endpoint;
     write(fingerprint, record, [this, fingerprint, done = std::move(done)](StoreStatus status) {
         const bool granted = status == StoreStatus::Ok;
         if (!granted) {
             m_ownTrials.erase(fingerprint);
         }
-        noteTrialEndpoints();
-        logRequest(granted ? "suspect_trial" : "suspect_trial_denied", fingerprint);
+        updateTrialEndpoints();
+        logSuspect(granted ? "suspect_trial" : "suspect_trial_denied", fingerprint);
         done(granted);
     });
 }
 
 // Whether no trial of it is open.
-bool SuspectKeeper::mayClaim(std::uint64_t fingerprint, const KnownRecord &known)
+bool SuspectCoordinator::mayClaim(std::uint64_t fingerprint, const KnownRecord &known)
 {
     if (m_ownTrials.count(fingerprint) != 0) {
         return false;
@@ -70,36 +70,36 @@
     const auto &endpoints = m_relay.state().endpoints.endpoints;
     const auto found = endpoints.find(trial->endpoint);
     if (found != endpoints.end() && !found->second.delisted) {
-        return Relay::now() >= known.seenAt + m_options.trialLimit;
+        return Relay::now() >= known.firstSeenAt + m_options.trialTimeout;
     }
     // Its router has told nothing, and the endpoint is no more.
-    SuspectTracker &book = m_relay.state().suspects;
-    recordSuspect(book,
+    SuspectTracker &tracker = m_relay.state().suspects;
+    recordSuspect(tracker,
                   {trial->endpoint, {}, {}, Relay::now(), {}},
                   fingerprint,
-                  {std::nullopt, book.connectedToPeers, book.connectedToPeers});
-    keepRecord(fingerprint);
-    judgeLater({fingerprint});
+                  {std::nullopt, tracker.connectedToPeers, tracker.connectedToPeers});
+    updateRecord(fingerprint);
+    scheduleEvaluation({fingerprint});
     return false;
 }
 
-void SuspectKeeper::onTrialEnded(std::uint64_t fingerprint)
+void SuspectCoordinator::onTrialEnded(std::uint64_t fingerprint)
 {
     if (m_ownTrials.erase(fingerprint) != 0) {
-        noteTrialEndpoints();
-        keepRecord(fingerprint);
+        updateTrialEndpoints();
+        updateRecord(fingerprint);
     }
 }
 
 // Where suspects are being tried, so that each is tried at an endpoint of its own.
-void SuspectKeeper::noteTrialEndpoints()
+void SuspectCoordinator::updateTrialEndpoints()
 {
     auto &endpoints = m_relay.state().trialEndpoints;
     endpoints.clear();
     const TimePoint now = Relay::now();
     for (const auto &[fingerprint, known] : m_records) {
         const auto &trial = known.record.trial;
-        if (trial && trial->router != m_options.self && now < known.seenAt + m_options.trialLimit) {
+        if (trial && trial->router != m_options.self && now < known.firstSeenAt + m_options.trialTimeout) {
             endpoints.insert(trial->endpoint);
         }
     }
