--- a/godwit/daemon/budget_manager.cpp
+++ b/godwit/daemon/budget_manager.cpp
@@ -29,7 +29,7 @@
 
 void BudgetManager::start()
 {
-    // The first readings show whether the store answers.
+    // The initial reads of the other components show whether the store answers, so no probe is needed at first.
     m_nextProbe = Relay::now() + m_options.initialProbeDelay;
     onTick();
 }
@@ -52,7 +52,7 @@
         if (limitsWereFixed) {
             m_relay.log().write("marks_bind_no_more", {});
         }
-        // Their limits grow with the time.
+        // The limits that derive from the marks increase with the marks' age.
         m_relay.retryReservations();
     }
     maintainLease(now);
@@ -84,13 +84,13 @@
         m_nextRenewal = now;
         m_nextRecords = now;
         if (now >= m_lastRenewalSentAt + m_options.leaseTime) {
-            // It has most likely ended; a new one costs less time than finding out.
+            // The lease has most likely expired; requesting a new one is faster than finding out.
             forgetLease();
         }
     } else {
         m_nextProbe = now + nextProbeDelay();
     }
-    // What others wrote meanwhile is not known.
+    // Other routers may have written the ledger in the meantime.
     m_relay.state().prepaid.ledgerKnown = false;
     m_relay.log().write(reachable ? "platform_regained" : "platform_lost", {});
     if (reachable && onStoreRegained) {
@@ -98,9 +98,9 @@
     }
 }
 
-// By lot from the first probe on: routers that all lost the store at once would else all ask at once, and then none for
-// as long as a whole turn takes. Those that reach the store take no turns: a router that has lost it alone would wait
-// for all of theirs.
+// Random from the first probe on: routers that lost the store at the same time would otherwise all probe at once, and
+// then none would for a whole interval. Only routers without the store count: a router that alone lost it would
+// otherwise wait for the turns of routers that don't probe.
 Duration BudgetManager::nextProbeDelay()
 {
     const int routers = std::max(1, m_relay.state().liveRouters);
@@ -113,7 +113,7 @@
     return std::chrono::duration_cast<Duration>(meanDelay * 2 * fraction);
 }
 
-// Routers take turns at asking whether the store is back, and tell each other.
+// Probes are spread over the routers; the one that reaches the store notifies the others.
 void BudgetManager::probe(TimePoint now)
 {
     if (m_relay.state().platformInReach || m_probeInFlight || now < m_nextProbe) {
@@ -153,7 +153,7 @@
     renewLease(now);
 }
 
-// A renewal costs a tenth of a probe, and shows as well whether the store is back.
+// A lease renewal shows as well whether the store is reachable, at a tenth of the cost of a probe.
 void BudgetManager::onStoreFoundByPeer()
 {
     if (m_lease == 0 || m_leaseCallInFlight) {
@@ -168,7 +168,7 @@
     m_nextRenewal = now + m_options.renewInterval;
     m_leaseCallInFlight = true;
     m_store.renewLease(m_lease, [this, now, uptime = Relay::uptime(), call = ++m_lastLeaseCallId](StoreStatus status) {
-        // News of a former lease says nothing of its successor.
+        // An answer about a previous lease is irrelevant for the current one.
         if (call != m_lastLeaseCallId) {
             return;
         }
@@ -200,7 +200,8 @@
                        });
 }
 
-// `uptime`: of the host, when the call was made.
+// `requestedAt` and `uptime` (of the host) are times at which the call was made: the lease runs from then at the
+// earliest.
 void BudgetManager::onLeaseRenewed(TimePoint requestedAt, Duration uptime, Duration timeToLive)
 {
     m_lastRenewalSentAt = requestedAt;
@@ -233,7 +234,7 @@
     transaction.puts.push_back({m_options.liveKey, m_options.liveValue, m_lease});
     m_store.transact(transaction, [this, lease = m_lease](const StoreWriteReply &reply) {
         m_liveWriteInFlight = false;
-        // What was written under a former lease went with it.
+        // The entry was written under a previous lease and expired with it.
         if (lease != m_lease) {
             return;
         }
@@ -253,7 +254,7 @@
     StoreTransaction transaction;
     transaction.removals.push_back(m_options.liveKey);
     m_store.transact(transaction, [](const StoreWriteReply &) {
-        // The lease's end removes the entry too, and routers hear of the stop over their links.
+        // Best effort: the entry also expires with the lease, and peers learn of the stop over their links.
     });
 }
 
@@ -316,7 +317,7 @@
     m_relay.retryReservations();
 }
 
-// What a process found when it came: the first question after a death is what it has cost.
+// Logs the ledger as found at start, so that the tokens lost with a crash can be determined afterwards.
 void BudgetManager::logLedger()
 {
     for (const auto &[customer, account] : m_relay.state().prepaid.ledger.accounts) {
@@ -334,7 +335,7 @@
     if (m_writePosted) {
         return;
     }
-    // Several requests that come together make one write.
+    // Coalesces the demand of requests that arrive together into one write.
     m_writePosted = true;
     boost::asio::post(m_io, [this] {
         m_writePosted = false;
@@ -401,7 +402,8 @@
     m_relay.retryReservations();
 }
 
-// The answer says what stands, which saves two reads in the frequent case that another router was faster.
+// The reply contains the current items, which saves two reads in the frequent case that another router's write came
+// first.
 void BudgetManager::onConditionFailed(const StoreWriteReply &reply)
 {
     if (!reply.currentItems || !m_writtenLedger) {
@@ -441,7 +443,7 @@
             readRecords();
         }
     }
-    // Until it has worked the tick tries again; the owner bounds how long.
+    // onTick() retries until the return has succeeded; the owner bounds the total time.
     if (share.returned && m_lease != 0) {
         dropShareLease(m_relay.state().limitShares);
         m_store.revokeLease(m_lease, [done = std::exchange(m_onReturned, [] {})](StoreStatus) {
--- a/godwit/daemon/budget_manager.h
+++ b/godwit/daemon/budget_manager.h
@@ -1,9 +1,10 @@
 #pragma once
 
-// Keeps this router's share of the prepaid totals, and its place among the live routers, in the platform's store.
+// Synchronises this router's share of the prepaid totals, and its entry in the list of live routers, with the
+// platform's store.
 //
-// Carries out what PrepaidShare plans and reports how it ended; holds the lease on which the live entry depends.
-// Not thread-safe.
+// Performs the writes that PrepaidShare plans and reports their outcomes to it. Owns the lease that the live entry and
+// the limit shares are attached to, and detects whether the store is reachable. Not thread-safe.
 
 #include "godwit/base/time.h"
 #include "godwit/relay/relay.h"
@@ -22,15 +23,16 @@
 struct BudgetManagerOptions
 {
     std::string ledgerKey = "godwit/ledger";
-    std::string markKey; // This host's own.
+    std::string markKey; // Written by this host only.
     std::string liveKey;
     std::string liveValue;
-    // Of the entry among the live routers. Links tell sooner who is gone, and it outlasts a usual loss of the store.
+    // Time to live of the lease. Longer than a typical outage of the store, so that the live entry survives one; the
+    // links between routers detect failures sooner.
     Duration leaseTime = std::chrono::seconds(12);
     Duration renewInterval = std::chrono::milliseconds(3500);
-    // While the store is away, the fleet as a whole asks this often whether it is back.
+    // Average interval between probes of the whole fleet while the store is unreachable.
     Duration fleetProbeInterval = std::chrono::milliseconds(120);
-    // One router asks no more often than this, however few have lost the store.
+    // Lower bound of the mean interval of one router, even if only a few routers have lost the store.
     Duration minOwnProbeInterval = std::chrono::milliseconds(800);
     Duration initialProbeDelay = std::chrono::milliseconds(500);
     Duration tickInterval = std::chrono::milliseconds(100);
@@ -47,34 +49,36 @@
 
     void start();
 
-    // Looks at once whether a write is due: a request waits for tokens.
+    // Checks from the event loop, without waiting for the next tick, whether a write is due. For requests that wait for
+    // tokens.
     void writeSoon();
 
-    // Takes the live entry away: callers are to be sent elsewhere.
+    // Removes the live entry, so that callers are directed to other routers.
     void removeLiveEntry();
 
-    // Gives everything back and ends the lease; `done` is called once, also when the store is out of reach.
+    // Returns all unused tokens to the ledger and revokes the lease. Retries on each tick while the store is
+    // unreachable; the caller bounds the wait. `done` is called at most once, after the attempt to revoke the lease.
     void returnAll(std::function<void()> done);
 
-    // Called when the store was heard, or not.
+    // Reports whether a call to the store was answered.
     void onStoreReachability(bool reachable);
 
-    // The store is within reach again.
+    // Called when the store becomes reachable again.
     std::function<void()> onStoreRegained;
 
-    // This router's entry stands among the live ones.
+    // Called after this router's live entry was written.
     std::function<void()> onLiveEntryWritten;
 
-    // This router has found the store again by a probe: others may be told.
+    // Called when a probe of this router finds the store reachable again, so that peers can be notified.
     std::function<void()> onStoreFoundByProbe;
 
-    // This router has written the ledger, as it now stands at that revision: others may be told.
+    // Called after this router wrote the ledger, with the stored value and its revision, so that peers can be notified.
     std::function<void(std::uint64_t revision, const std::string &ledger)> onLedgerWritten;
 
-    // Another router has found that the store is back.
+    // A peer has reported that the store is reachable again.
     void onStoreFoundByPeer();
 
-    // Which part of the other routers lately had the store out of reach; unset: all.
+    // Fraction of the peers that recently reported the store as unreachable. All of them if unset.
     std::function<double()> peerFractionWithoutStore;
 
 private:
@@ -107,15 +111,15 @@
     std::function<HostTime()> m_hostTime;
     boost::asio::steady_timer m_tickTimer;
     std::uint64_t m_lease = 0;
-    TimePoint m_lastRenewalSentAt; // When the last renewal that the store confirmed was sent.
+    TimePoint m_lastRenewalSentAt; // Of the last renewal that the store confirmed.
     TimePoint m_nextRenewal;
-    bool m_leaseCallInFlight = false; // The last of them.
+    bool m_leaseCallInFlight = false; // The call with id m_lastLeaseCallId.
     std::uint64_t m_lastLeaseCallId = 0;
     bool m_recordsReadInFlight = false;
     bool m_liveEntryWritten = false;
     bool m_liveWriteInFlight = false;
     bool m_liveEntryRemoved = false;
-    std::optional<std::string> m_writtenLedger; // What the open write, or the last one, makes of the ledger.
+    std::optional<std::string> m_writtenLedger; // The ledger in the write in flight, or else in the last one.
     bool m_writePosted = false;
     TimePoint m_nextRecords;
     TimePoint m_nextProbe;
--- a/godwit/daemon/endpoint_list.cpp
+++ b/godwit/daemon/endpoint_list.cpp
@@ -9,11 +9,11 @@
 namespace
 {
 
-// Lapsed entries are back within about two seconds of the store's return.
+// Expired entries are written again within about two seconds of the store's return.
 constexpr Duration MissingEntryGracePeriod = std::chrono::milliseconds(2300);
 
-// Starts of endpoints that are no longer listed are remembered up to this many, so that a late write of an old one is
-// known for what it is.
+// Bound of the remembered start times. Those of endpoints that are no longer listed are kept up to this number, so that
+// a delayed write of an earlier start is recognised.
 constexpr std::size_t MaxRememberedStarts = 4096;
 
 } // namespace
@@ -29,7 +29,7 @@
     const TimePoint now = Relay::now();
     const TimePoint graceUntil = at ? *at + MissingEntryGracePeriod : now;
     if (now >= graceUntil) {
-        // Another router has heard the store all the while: what is missing has gone.
+        // Another router reached the store throughout: missing endpoints were removed.
         if (now < m_graceUntil) {
             m_graceUntil = now;
             apply();
@@ -95,8 +95,8 @@
     }
     EndpointIncarnation &newest = m_newestStart[endpoint->id];
     if (endpoint->startedAt != 0 && endpoint->startedAt < newest) {
-        // A write of an earlier start that the store has done late. What was known of the newer one still holds.
-        logRejectedEntry(key, entry, "an entry of an earlier start of the endpoint");
+        // A delayed write of an earlier start; the state of the newer start remains valid.
+        logRejectedEntry(key, entry, "the entry belongs to an earlier start of the endpoint");
         return;
     }
     newest = std::max(newest, endpoint->startedAt);
@@ -104,8 +104,8 @@
     entry.endpoint = std::move(endpoint);
 }
 
-// Where most endpoints tell their start, an entry without one comes from another writer. Not where any does: one
-// foreign entry that tells a start would else drop every endpoint of a platform where none does.
+// Where most entries contain a start time, an entry without one comes from another writer. The majority decides:
+// otherwise a single foreign entry with a start time would drop all endpoints of a platform whose entries have none.
 void EndpointList::dropEntriesWithoutStart()
 {
     int withStart = 0;
@@ -117,7 +117,7 @@
     }
     for (auto &[key, entry] : m_entries) {
         if (withStart > withoutStart && entry.endpoint && entry.endpoint->startedAt == 0) {
-            logRejectedEntry(key, entry, "the entry doesn't say when its endpoint started, as others do");
+            logRejectedEntry(key, entry, "the entry has no start time, unlike most others");
             entry.endpoint.reset();
         }
     }
@@ -142,7 +142,7 @@
     std::map<EndpointId, ListedEndpoint> used = m_listed;
     bool kept = false;
     for (const auto &[id, endpoint] : m_inUse) {
-        // One that is there but can't be read has not lapsed.
+        // An entry that exists but can't be decoded has not expired.
         const bool missing = m_entries.count(std::string(EndpointPrefix) + id.value) == 0;
         const bool keep = missing && m_possiblyLapsed.count(id) != 0;
         kept = (keep && used.emplace(id, endpoint).second) || kept;
--- a/godwit/daemon/first_death_store.cpp
+++ b/godwit/daemon/first_death_store.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-// What only leaves the value waits so long for a death that takes it along.
+// A change that only removes deaths is delayed by up to this time, to be combined with the next addition.
 constexpr Duration MaxRemovalDelay = std::chrono::seconds(10);
-// When many endpoints die, each death is told by many routers.
+// Limits the checks when many endpoints die, since many routers report each death.
 constexpr Duration MinCheckInterval = std::chrono::milliseconds(50);
 
 } // namespace
--- a/godwit/daemon/first_death_store.h
+++ b/godwit/daemon/first_death_store.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Keeps the first death under each request in the platform's store, so that it outlives all routers. One router of the
-// fleet writes for all. Not thread-safe.
+// Persists the first endpoint death of each suspected request in the platform's store, so that it survives a restart of
+// all routers. Only one router of the fleet writes. Not thread-safe.
 //
 // Example:
-//   FirstDeathKeeper keeper(relay, store, key);
-//   keeper.onBookChanged();
+//   FirstDeathStore firstDeaths(relay, store, key);
+//   firstDeaths.onSuspectsChanged();
 
 #include "godwit/base/time.h"
 #include "godwit/gateway/store_item.h"
@@ -27,13 +27,13 @@
 public:
     FirstDeathStore(Relay &relay, StoreClient &store, std::string key);
 
-    // A death has been noted, or was taken back. To be called now and then besides, since a write can fail.
+    // A death was recorded or withdrawn. Must also be called periodically, to retry failed writes.
     void onSuspectsChanged();
 
-    // The copy of what the store keeps has this item.
+    // Processes an item of this router's copy of the store; ignores other keys and older revisions.
     void onItem(const StoreItem &item);
 
-    // Whether this router writes for the fleet; unset: it doesn't.
+    // Whether this router writes on behalf of the fleet; false if unset.
     std::function<bool()> isWriter;
 
 private:
@@ -47,7 +47,7 @@
     Relay &m_relay;
     StoreClient &m_store;
     std::string m_key;
-    std::uint64_t m_revision = 0; // 0: the store has no value.
+    std::uint64_t m_revision = 0; // 0 if the store has no value.
     DeathKeys m_stored;
     bool m_writeInFlight = false;
     TimePoint m_writtenAt;
--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -34,30 +34,31 @@
 using boost::system::error_code;
 
 constexpr const char *LivePrefix = "godwit/live/";
-// Below the routers' own entries, so that one reading brings both.
+// Below the routers' live entries, so that one range read returns both.
 constexpr const char *SuspectPrefix = "godwit/live/suspect/";
-// Of the other routers: with fewer, deaths are no evidence against a request.
+// While fewer of the peers are connected, endpoint deaths are no evidence against a request.
 constexpr double MinConnectedFraction = 0.5;
 constexpr const char *MarkPrefix = "godwit/mark/";
 
-// Most addresses in one answer; callers take no more.
+// Addresses in one answer; callers use no more.
 constexpr std::size_t MaxAddresses = 64;
-// How often idle connections and the settings file are looked at.
+// Interval of the periodic work, such as closing idle connections and checking the settings file.
 constexpr auto SweepInterval = std::chrono::milliseconds(500);
-// The entries of routers that the links have not told of yet.
+// Interval of reading the live entries, for routers that are not known through links yet.
 constexpr Duration LiveReadingInterval = std::chrono::seconds(2);
-// A router that can't learn which requests crash endpoints serves without that after so long.
+// A starting router waits no longer than this for the list of requests that crash endpoints.
 constexpr Duration MaxSuspectWait = std::chrono::seconds(1);
-// A snapshot of a large copy takes a small host's link a while.
+// Minimum time between requests for a snapshot, which occupies the link of a small host for a while if the copy is
+// large.
 constexpr Duration ConfirmInterval = std::chrono::seconds(1);
-// From here on a fetch of a copy is worth a line.
+// Successful fetches that are faster are not logged.
 constexpr Duration SlowFetchThreshold = std::chrono::milliseconds(250);
-// Of this host's link; callers have the rest.
+// Fraction of this host's link for snapshots; the rest is left to callers.
 constexpr double SnapshotBandwidthFraction = 0.5;
-// How often a line tells what the router has done so far.
+// Interval of the log line with the router's counters.
 constexpr Duration LoadLogInterval = std::chrono::seconds(5);
-// Of the time that a stop may take: after the first part no new request is taken, so that those under way can end;
-// the second part leaves time to give the budgets back.
+// Fractions of the time that a shutdown may take. After the first, no new requests are accepted, so that those in
+// flight can complete; after the second, remaining requests are cut, which leaves time to return the budgets.
 constexpr double AcceptRequestsFraction = 0.36;
 constexpr double FinishRequestsFraction = 0.88;
 
@@ -84,13 +85,13 @@
     return std::chrono::milliseconds(time.tv_sec * 1000 + time.tv_nsec / 1'000'000);
 }
 
-// The uptime goes on while the host is suspended, and only a restart of the host sets it back.
+// The uptime includes time in which the host was suspended; only a reboot resets it.
 HostTime hostTimeNow(const std::string &boot)
 {
     return HostTime{clockNow(CLOCK_BOOTTIME), clockNow(CLOCK_REALTIME), boot};
 }
 
-// Which start of the host this is; empty where the system does not tell.
+// Identifies the current boot of the host; empty if the system doesn't provide it.
 std::string bootId()
 {
     std::string name;
@@ -142,8 +143,8 @@
     SuspectCoordinatorOptions options;
     options.self = self;
     options.prefix = SuspectPrefix;
-    // The third death convicts. An error of judgement lasts seconds: then one router tries the request again, and only
-    // a further death makes it long.
+    // The third death convicts. A wrong verdict lasts for seconds only: then one router tries the request again, and
+    // only a further death leads to a long refusal.
     options.suspects.deathsToConvict = 3;
     options.suspects.convictionRequiresTrial = true;
     options.suspects.firstRefuseFor = std::chrono::seconds(15);
@@ -205,7 +206,8 @@
             }
         };
         m_budgets.onLiveEntryWritten = [this] {
-            // Whoever wrote its entry before is in this reading, and whoever does later reads this one's.
+            // This read finds all routers whose entries were written earlier; those that write later read this router's
+            // entry.
             if (!std::exchange(m_readAfterEntryWritten, true)) {
                 m_liveEntries.readNow();
             }
@@ -317,7 +319,7 @@
         return options;
     }
 
-    // The routers' own entries: links and beats tell sooner who comes and goes.
+    // The live entries are not watched: links and heartbeats report joining and leaving routers sooner.
     static SharedPrefixOptions liveOptions()
     {
         SharedPrefixOptions options;
@@ -331,7 +333,7 @@
         return {&m_documents, &m_endpointEntries, &m_liveEntries};
     }
 
-    // Null for a name that this version does not know.
+    // Null if this version does not know the name.
     SharedPrefix *findPrefix(const std::string &name)
     {
         for (SharedPrefix *prefix : prefixes()) {
@@ -367,7 +369,7 @@
         };
     }
 
-    // Readings that end at once are many, and say nothing.
+    // Fast successful reads are frequent and not worth a line.
     void logFetch(const std::string &prefix, const CopyFetch &fetch)
     {
         if (fetch.answered && fetch.took < SlowFetchThreshold) {
@@ -419,7 +421,7 @@
         m_endpoints.setEvacuated(evacuated);
     }
 
-    // A service whose endpoints bear few requests while cold says so in the document.
+    // The document specifies the services whose endpoints sustain only a low request rate while cold.
     void planColdStarts()
     {
         auto &plans = m_relay.state().endpoints.coldPlans;
@@ -494,7 +496,7 @@
     void updateStage()
     {
         auto &state = m_relay.state();
-        // What the store says of requests that crash endpoints comes with the routers' entries.
+        // The records of requests that crash endpoints are read together with the live entries.
         const bool knowsSuspects = m_liveEntries.isComplete() || Relay::now() >= m_startedAt + MaxSuspectWait;
         if (state.stage == RelayStage::Starting && state.routes && m_endpointEntries.isComplete() && knowsSuspects) {
             setStage(RelayStage::Serving, "serving");
@@ -538,7 +540,8 @@
         return addresses;
     }
 
-    // Where routes are bound to regions, a router elsewhere would pass their requests on to another region.
+    // For routes that are bound to regions: a router in another region would have to forward their requests across
+    // regions.
     AllowedRegions entryRegions(const PlatformQuery &query)
     {
         const auto &routes = m_relay.state().routes;
@@ -580,7 +583,7 @@
         });
     }
 
-    // Addresses stay as they were at the start; the bounds can change.
+    // Only limits can change at run time; addresses are fixed at the start.
     void reloadSettings(std::string_view cause)
     {
         const std::string text = readFile(m_settingsFile);
@@ -633,7 +636,7 @@
         });
     }
 
-    // How much there was to do, now and then: the first thing to look at when a host answers late.
+    // Periodically logs the load, which is the first thing to check when a host answers late.
     void logLoad()
     {
         if (Relay::now() < m_nextLoadLog) {
@@ -658,8 +661,9 @@
                      {"store_leases", calls(StoreCallKind::Lease)}});
     }
 
-    // A host that has enough tokens asks the others for nothing: without a question of its own it would not see that
-    // its link is full, and send requests to endpoints that left while word of it waited there.
+    // A host that has enough tokens sends no requests to its peers. Without this periodic comparison it would not
+    // detect that its link is congested, and would send requests to endpoints that have left while the update was still
+    // queued.
     void compareCopies()
     {
         const std::uint64_t requests = m_relay.counters().requests;
@@ -682,7 +686,7 @@
         m_copiesOutdated = outdated;
     }
 
-    // What the others hold was told to this router and has been lost, or is on its way over a full link.
+    // Handles updates that were lost or are delayed by a congested link: requests a snapshot if a copy is stale.
     void confirmIfOutdated()
     {
         const TimePoint now = Relay::now();
@@ -757,7 +761,7 @@
         continueStop();
     }
 
-    // Callers keep an address answer for a while, so requests still come: they are served in the first part.
+    // Callers cache address answers for a while, so new requests still arrive and are served in the first phase.
     void continueStop()
     {
         const double passed = toSeconds(Relay::now() - m_stopStartedAt) / toSeconds(m_settings.stopWithin);
@@ -807,9 +811,9 @@
         m_io.stop();
     }
 
-    // Before the loop, so that it goes after it: handlers that the loop still holds at its end own connections, and
-    // each of them takes itself off this list. The other way round a stop with a caller still connected ended in a
-    // corrupted heap instead of an exit code.
+    // Declared before m_io and thus destroyed after it: handlers that are still queued in m_io own connections, and
+    // each of these removes itself from this list on destruction. In the reverse order, a shutdown with a connected
+    // caller corrupted the heap.
     CallerConnections m_connections;
     boost::asio::io_context m_io{1};
     GatewaySettings m_settings;
@@ -843,7 +847,8 @@
     bool m_copiesOutdated = false;
     TimePoint m_nextConfirm;
     TimePoint m_startedAt;
-    bool m_readAfterEntryWritten = false; // The others' entries, since this router's own was written first.
+    bool m_readAfterEntryWritten =
+        false; // Whether the live entries were read since this router's own was first written.
     bool m_stopping = false;
     TimePoint m_stopStartedAt;
 };
--- a/godwit/daemon/gateway.h
+++ b/godwit/daemon/gateway.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// One router of the fleet on the users' platform: joins callers, endpoints, the store and the other routers.
+// One router process of the fleet on the users' platform: connects callers, endpoints, the platform's store and the
+// other routers.
 //
-// Runs on one thread. run() returns when the router has stopped after SIGTERM or SIGINT.
+// Single-threaded. run() returns after the graceful shutdown that SIGTERM or SIGINT starts.
 //
 // Example:
 //   Gateway gateway(settings);
@@ -22,13 +23,15 @@
 class Gateway
 {
 public:
-    // `settingsFile` is read again on SIGHUP and when it has changed.
+    // `settingsFile` is reloaded on SIGHUP and when its content has changed.
     Gateway(GatewaySettings settings, std::string settingsFile);
     ~Gateway();
 
+    // Opens the listeners and starts to read the store. Returns false, with `reason` set, if a listener can't be
+    // opened.
     bool start(LastReason &reason);
 
-    // True when everything held was given back.
+    // Runs the event loop. Returns true if all tokens that this router held were returned to the ledger.
     bool run();
 
 private:
--- a/godwit/daemon/gateway_metrics.h
+++ b/godwit/daemon/gateway_metrics.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Counters and gauges of a gateway in the Prometheus text form.
+// Counters and gauges of a router in the Prometheus text format.
 
 #include "godwit/relay/relay.h"
 #include "platform/store_client.h"
--- a/godwit/daemon/limit_share_manager.cpp
+++ b/godwit/daemon/limit_share_manager.cpp
@@ -116,7 +116,7 @@
         transaction.conditions.push_back({keyOf(share.number), share.revision});
         transaction.removals.push_back(keyOf(share.number));
     }
-    // One that stays in the store after a lost call ends with the lease.
+    // If the call fails, the shares that remain in the store expire with the lease.
     m_store.transact(transaction, [this](const StoreWriteReply &) {
         m_callInFlight = false;
     });
@@ -129,7 +129,7 @@
     m_nextCall = Relay::now() + meanDelay / 2 + randomDelay(meanDelay);
 }
 
-// Routers that know of the same others begin at different numbers.
+// Routers with the same view of the fleet start at different numbers, which avoids conflicts between their claims.
 int LimitShareManager::firstNumberToTry() const
 {
     if (m_hadConflict) {
--- a/godwit/daemon/limit_share_manager.h
+++ b/godwit/daemon/limit_share_manager.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Claims this router's shares of the fleet's limits in the platform's store, and hands back what it holds beyond its
-// part. BudgetKeeper keeps the lease under which they stand. Not thread-safe.
+// Claims this router's shares of the fleet's limits in the platform's store, and releases those beyond its fair part.
+// The shares are attached to the lease that BudgetManager maintains. Not thread-safe.
 //
 // Example:
-//   LimitShareKeeper keeper(relay, store, {settings.callerListen});
-//   keeper.step();
+//   LimitShareManager manager(relay, store, {settings.callerListen});
+//   manager.step();
 
 #include "godwit/base/time.h"
 #include "godwit/gateway/limit_shares.h"
@@ -20,14 +20,14 @@
 
 struct LimitShareManagerOptions
 {
-    std::string self; // The address that callers reach this router by.
+    std::string self; // The address at which callers reach this router.
     std::string prefix = "godwit/shares/";
-    // Routers that start together hear of each other within this time, and claim one after another.
+    // Routers that start together discover each other within this time, and claim at random times afterwards.
     Duration settleDelay = std::chrono::seconds(1);
     Duration settleJitter = std::chrono::milliseconds(1500);
-    // After a claim that another router was faster with.
+    // Bound of the random delay after a claim that conflicted with another router's.
     Duration conflictJitter = std::chrono::milliseconds(600);
-    // While shares are lacking, the routers together ask for them this often.
+    // Average interval between reads of the whole fleet while shares are lacking.
     Duration fleetRetryInterval = std::chrono::milliseconds(600);
 };
 
@@ -36,7 +36,7 @@
 public:
     LimitShareManager(Relay &relay, StoreClient &store, LimitShareManagerOptions options);
 
-    // Makes the call that is due, if any.
+    // Starts the store call that is due, if any. To be called periodically.
     void step();
 
 private:
@@ -53,7 +53,7 @@
     StoreClient &m_store;
     LimitShareManagerOptions m_options;
     bool m_callInFlight = false;
-    std::uint64_t m_lease = 0; // Under which the next call was timed.
+    std::uint64_t m_lease = 0; // For which m_nextCall was computed.
     TimePoint m_nextCall;
     bool m_hadConflict = false;
 };
--- a/godwit/daemon/suspect_coordinator.h
+++ b/godwit/daemon/suspect_coordinator.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Finds out which endpoints have died under which requests, and keeps the fleet's knowledge of such requests: over
-// links at once, and in the platform's store where it has to last. Lets one router at a time try a request that may be
-// to blame. What is believed of a request is decided in godwit/suspects. Not thread-safe.
+// Detects which endpoints died while they ran which requests, and shares this evidence with the fleet: immediately over
+// the links between routers, and durably in the platform's store. Grants trials, so that only one router at a time runs
+// a request that may crash endpoints. The verdict on a request is computed in godwit/suspects. Not thread-safe.
 //
 // Example:
-//   SuspectKeeper suspects(io, relay, store, options);
-//   suspects.tell = [&](const std::vector<SuspectNotice> &notices) { ...to all other routers... };
+//   SuspectCoordinator suspects(io, relay, store, options);
+//   suspects.broadcast = [&](const std::vector<SuspectNotice> &notices) { ...send to all other routers... };
 
 #include "godwit/base/time.h"
 #include "godwit/daemon/first_death_store.h"
@@ -34,23 +34,23 @@
 struct SuspectCoordinatorOptions
 {
     Incarnation self;
-    std::string prefix; // Of the records' keys.
+    std::string prefix; // Prefix of the records' keys in the store.
     SuspectOptions suspects;
-    // A first opening packet that is lost is repeated after a second.
+    // Longer than one second, after which TCP retransmits a lost SYN.
     Duration probeTimeout = std::chrono::milliseconds(1300);
-    // A request whose connection has ended waits no longer than this to learn whether its endpoint has died.
+    // A request whose connection was closed waits no longer than this for the check whether its endpoint has died.
     Duration crashCheckTimeout = std::chrono::milliseconds(60);
-    // A request that was answered whole so shortly before an endpoint died is not to blame.
+    // A death is not attributed to a request that was answered completely within this time before it.
     Duration recentAnswerWindow = std::chrono::seconds(3);
-    // A router that has answered a suspect says so within this time, before it is judged.
+    // A router that has recently answered a suspect clears it within this time, before the suspect is evaluated.
     Duration maxClearanceDelay = std::chrono::milliseconds(150);
-    // The copy of what the store keeps is no older than this.
+    // Maximum age of this router's copy of the store.
     Duration maxCopyLag = std::chrono::seconds(3);
-    // A trial that its router has not ended by then is over if its endpoint lives.
+    // A trial that its router has not ended by then is considered over if its endpoint is still running.
     Duration trialTimeout = std::chrono::seconds(15);
-    // A request does not wait longer for the store to grant its trial.
+    // A request waits no longer than this for the store write that grants its trial; then the trial is denied.
     Duration trialGrantTimeout = std::chrono::milliseconds(250);
-    std::size_t maxLoggedRequests = 8; // Requests in one line.
+    std::size_t maxLoggedRequests = 8; // Requests in one log line.
     std::size_t maxNoticesPerDeath = 64;
     std::size_t maxRecords = 256;
     std::size_t maxRecordsPerCustomer = 32;
@@ -65,17 +65,18 @@
                        StoreClient &store,
                        SuspectCoordinatorOptions options);
 
-    // The list of endpoints has changed.
+    // The list of endpoints has changed. Detects deaths of endpoints whose address was taken over by another one.
     void onEndpointsChanged();
 
-    // The copy of what the store keeps has changed; only entries below the prefix.
+    // This router's copy of the store has changed. `items` are all entries below the prefix; a record that has
+    // disappeared since lifts the verdict.
     void onRecords(const std::map<std::string, StoreItem> &items);
 
-    // Another router has told.
+    // Processes notices from another router.
     void onNotices(const std::vector<SuspectNotice> &notices);
 
-    // To be called twice a second. Tells who was answered, writes what could not be written, and forgets what is too
-    // old.
+    // Periodic work, to be called twice a second: broadcasts clearances, retries failed writes and removes expired
+    // evidence and records.
     void step();
 
     FirstDeathStore &firstDeaths()
@@ -83,21 +84,21 @@
         return m_firstDeaths;
     }
 
-    // Whether this router hears the others; unset: it does.
+    // Whether this router is connected to enough of its peers; true if unset.
     std::function<bool()> isConnectedToFleet;
 
-    // All other routers that callers are told of are to be told.
+    // Sends notices to all other routers that are advertised to callers.
     std::function<void(const std::vector<SuspectNotice> &)> broadcast;
 
 private:
     struct KnownRecord
     {
         SuspectRecord record;
-        std::uint64_t revision = 0; // 0: the store has none.
+        std::uint64_t revision = 0; // 0 if the store has no record.
         TimePoint firstSeenAt; // When this revision was first seen.
-        bool inCopy = false; // The copy of the store has had this revision.
+        bool inCopy = false; // Whether the copy of the store has contained this revision.
         bool writeInFlight = false;
-        bool writtenHere = false; // This router wrote this revision.
+        bool writtenHere = false; // Whether this router wrote this revision.
     };
 
     void onInterrupted(const InterruptedRequest &interrupted, std::function<void()> resolved);
@@ -109,7 +110,7 @@
     void onCleared(std::uint64_t fingerprint);
     void recordReportedDeath(const SuspectNotice &notice);
     void scheduleEvaluation(std::set<std::uint64_t> fingerprints);
-    // This router has answered them lately.
+    // For requests that this router has answered recently.
     void scheduleClearance(std::set<std::uint64_t> fingerprints);
     void evaluate(std::uint64_t fingerprint);
     void noteConviction(std::uint64_t fingerprint);
@@ -118,10 +119,10 @@
     bool mayClaim(std::uint64_t fingerprint, const KnownRecord &known);
     void onTrialEnded(std::uint64_t fingerprint);
     void clearAnsweredRequest(std::uint64_t fingerprint);
-    // An answer that may be a part is whole if its endpoint is alive after it.
+    // An answer without a declared end counts as complete if the endpoint still accepts connections afterwards.
     void onAnswerWithoutDeclaredEnd(std::uint64_t fingerprint, const EndpointId &endpoint);
     void broadcastClearances();
-    // Brings the store's record to what is believed here, where it is worth a record.
+    // Writes the current evidence to the store if there is a record already, or enough deaths for one.
     void updateRecord(std::uint64_t fingerprint);
     bool hasRoomFor(const SuspectLabel &label) const;
     SuspectRecord recordOf(std::uint64_t fingerprint);
@@ -140,14 +141,14 @@
     StoreClient &m_store;
     SuspectCoordinatorOptions m_options;
     FirstDeathStore m_firstDeaths;
-    std::map<EndpointId, std::vector<std::function<void()>>> m_waiters; // For the answer of an endpoint's port.
-    std::map<std::uint64_t, SuspectLabel> m_labels; // Of requests that were cut here.
+    std::map<EndpointId, std::vector<std::function<void()>>> m_waiters; // For the result of probing an endpoint's port.
+    std::map<std::uint64_t, SuspectLabel> m_labels; // Of requests that were interrupted at this router.
     std::map<std::uint64_t, EndpointId> m_ownTrials;
     std::map<std::uint64_t, KnownRecord> m_records;
-    std::map<std::uint64_t, std::size_t> m_deathsAtConviction; // With how many deaths a request was last convicted.
-    std::map<std::uint64_t, std::uint64_t> m_removedRevisions; // Revisions up to which a record no longer counts.
-    std::map<std::uint64_t, TimePoint> m_clearedByPeerAt; // By other routers, lately.
-    std::set<std::uint64_t> m_unsentClearances; // Not told yet: after a death there are many.
+    std::map<std::uint64_t, std::size_t> m_deathsAtConviction; // Number of attributable deaths at the last conviction.
+    std::map<std::uint64_t, std::uint64_t> m_removedRevisions; // Records up to this revision are ignored.
+    std::map<std::uint64_t, TimePoint> m_clearedByPeerAt; // Recent clearances by other routers.
+    std::set<std::uint64_t> m_unsentClearances; // Not broadcast yet; batched, since there are many after a death.
     std::set<std::uint64_t> m_pendingWrites;
     std::set<std::uint64_t> m_pendingRemovals;
 };
--- a/godwit/daemon/suspect_deaths.cpp
+++ b/godwit/daemon/suspect_deaths.cpp
@@ -1,4 +1,4 @@
-// Suspects: which endpoints have died under which requests, and who is condemned for it.
+// SuspectCoordinator: detection of endpoint deaths, and convictions.
 
 #include "godwit/daemon/suspect_coordinator.h"
 
@@ -25,7 +25,7 @@
 {
     const EndpointState *endpoint = findIncarnation(m_relay.state().endpoints, interrupted.endpoint, interrupted.start);
     if (endpoint == nullptr || !acceptsNewRequests(*endpoint)) {
-        // It ends as planned.
+        // The endpoint is draining or gone, so the interruption is expected.
         if (interrupted.run.trial) {
             onTrialEnded(interrupted.run.fingerprint);
         }
@@ -134,7 +134,8 @@
     }
     ++m_relay.counters().endpointDeaths[death.service];
     logDeath(death, sign);
-    // When many endpoints die at once nobody there is to blame, and telling of all would flood the routers.
+    // If many endpoints die at once, no single request is the cause, and notices about all of them would flood the
+    // peers.
     if (!isWidespreadFailure(tracker, endpointDeath.at)) {
         notices.resize(std::min(notices.size(), m_options.maxNoticesPerDeath));
         if (broadcast && !notices.empty()) {
@@ -149,7 +150,7 @@
     scheduleEvaluation(std::move(fingerprints));
 }
 
-// Each request with the deaths that count against it and what is believed of it.
+// Lists the requests in flight, each with its number of attributable deaths and its verdict.
 void SuspectCoordinator::logDeath(const EndpointInterruptions &death, std::string_view sign) const
 {
     const SuspectTracker &tracker = m_relay.state().suspects;
@@ -210,7 +211,7 @@
     updateRecord(fingerprint);
 }
 
-// A verdict that has ended is given again for a further death only.
+// After a conviction has expired, only a further death leads to a new one.
 void SuspectCoordinator::noteConviction(std::uint64_t fingerprint)
 {
     m_deathsAtConviction[fingerprint] = attributableDeaths(m_relay.state().suspects, fingerprint).size();
--- a/godwit/daemon/suspect_records.cpp
+++ b/godwit/daemon/suspect_records.cpp
@@ -1,4 +1,4 @@
-// Suspects: their records in the platform's store.
+// SuspectCoordinator: records in the platform's store.
 
 #include "godwit/daemon/suspect_coordinator.h"
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-// With so many deaths a request is worth a record: the next run of it is a trial.
+// Number of deaths from which on a request is recorded, since its next run is a trial.
 std::size_t deathsToRecord(const SuspectTracker &tracker)
 {
     return tracker.options.deathsToConvict - 1;
@@ -171,7 +171,8 @@
     taken.firstSeenAt = now;
     taken.writtenHere = false;
     SuspectTracker &tracker = m_relay.state().suspects;
-    // Before all that comes from here on, and one after another.
+    // The recorded deaths are dated before any that follow, one after another and outside of each other's coincidence
+    // window.
     TimePoint at = now - tracker.options.coincidenceWindow;
     for (auto death = record->deaths.rbegin(); death != record->deaths.rend(); ++death) {
         at -= std::chrono::seconds(1);
@@ -214,7 +215,7 @@
         }
     }
     for (const std::uint64_t fingerprint : removed) {
-        // An operator or another router has lifted it.
+        // An operator or another router has removed the record.
         logSuspect("suspect_lifted", fingerprint);
         clearAllEvidence(m_relay.state().suspects, fingerprint);
         forgetRecord(fingerprint, m_records.at(fingerprint).revision);
@@ -222,7 +223,7 @@
     updateTrialEndpoints();
 }
 
-// The copy of the store may still have the record of what another router has just cleared.
+// The copy of the store may still contain the record of a request that another router has just cleared.
 bool SuspectCoordinator::wasRecentlyCleared(std::uint64_t fingerprint) const
 {
     const auto found = m_clearedByPeerAt.find(fingerprint);
--- a/godwit/daemon/suspect_trials.cpp
+++ b/godwit/daemon/suspect_trials.cpp
@@ -1,4 +1,4 @@
-// Suspects: one run of each at a time, by one router of the fleet.
+// SuspectCoordinator: trials. The fleet runs each suspect at most once at a time.
 
 #include "godwit/daemon/suspect_coordinator.h"
 
@@ -57,7 +57,7 @@
     });
 }
 
-// Whether no trial of it is open.
+// Whether no trial of the request is in progress.
 bool SuspectCoordinator::mayClaim(std::uint64_t fingerprint, const KnownRecord &known)
 {
     if (m_ownTrials.count(fingerprint) != 0) {
@@ -72,7 +72,7 @@
     if (found != endpoints.end() && !found->second.delisted) {
         return Relay::now() >= known.firstSeenAt + m_options.trialTimeout;
     }
-    // Its router has told nothing, and the endpoint is no more.
+    // The endpoint of the trial is gone without a report of the router: count it as a death.
     SuspectTracker &tracker = m_relay.state().suspects;
     recordSuspect(tracker,
                   {trial->endpoint, {}, {}, Relay::now(), {}},
@@ -91,7 +91,7 @@
     }
 }
 
-// Where suspects are being tried, so that each is tried at an endpoint of its own.
+// Collects the endpoints that run trials, so that no endpoint runs two suspects at a time.
 void SuspectCoordinator::updateTrialEndpoints()
 {
     auto &endpoints = m_relay.state().trialEndpoints;
