--- a/godwit/daemon/budget_manager.cpp
+++ b/godwit/daemon/budget_manager.cpp
@@ -200,8 +200,8 @@
                        });
 }
 
-// `requestedAt` and `uptime` (of the host) are times at which the call was made: the lease runs from then at the
-// earliest.
+// `requestedAt` and `uptime` (of the host) are times at which the call was made: the lease
+// runs from then at the earliest.
 void BudgetManager::onLeaseRenewed(TimePoint requestedAt, Duration uptime, Duration timeToLive)
 {
     m_lastRenewalSentAt = requestedAt;
@@ -402,8 +402,8 @@
     m_relay.retryReservations();
 }
 
-// The reply contains the current items, which saves two reads in the frequent case that another router's write came
-// first.
+// The reply contains the current items, which saves two reads in the frequent case
+// that another router's write came first.
 void BudgetManager::onConditionFailed(const StoreWriteReply &reply)
 {
     if (!reply.currentItems || !m_writtenLedger) {
--- a/godwit/daemon/budget_manager.h
+++ b/godwit/daemon/budget_manager.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Synchronises this router's share of the prepaid totals, and its entry in the list of live routers, with the
-// platform's store.
+// Synchronises this router's share of the prepaid totals, and its entry in the list of
+// live routers, with the platform's store.
 //
 // Performs the writes that PrepaidShare plans and reports their outcomes to it. Owns the lease that the live entry and
 // the limit shares are attached to, and detects whether the store is reachable. Not thread-safe.
@@ -49,8 +49,8 @@
 
     void start();
 
-    // Checks from the event loop, without waiting for the next tick, whether a write is due. For requests that wait for
-    // tokens.
+    // Checks from the event loop, without waiting for the next tick, whether a write is due.
+    // For requests that wait for tokens.
     void writeSoon();
 
     // Removes the live entry, so that callers are directed to other routers.
--- a/godwit/daemon/endpoint_list.h
+++ b/godwit/daemon/endpoint_list.h
@@ -34,8 +34,8 @@
     // count as cold, since they may have lost their warm state and report that seconds later.
     void setEvacuated(const std::set<DataCentreId> &evacuated);
 
-    // `at` is when the store came back after an outage in which entries can have expired; unset if there was none
-    // recently.
+    // `at` is when the store came back after an outage in which entries can have expired;
+    // unset if there was none recently.
     void onStoreReturn(std::optional<TimePoint> at);
 
 private:
--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -48,8 +48,8 @@
 constexpr Duration LiveReadingInterval = std::chrono::seconds(2);
 // A starting router waits no longer than this for the list of requests that crash endpoints.
 constexpr Duration MaxSuspectWait = std::chrono::seconds(1);
-// Minimum time between requests for a snapshot, which occupies the link of a small host for a while if the copy is
-// large.
+// Minimum time between requests for a snapshot, which occupies the link of a small host for a
+// while if the copy is large.
 constexpr Duration ConfirmInterval = std::chrono::seconds(1);
 // Successful fetches that are faster are not logged.
 constexpr Duration SlowFetchThreshold = std::chrono::milliseconds(250);
@@ -206,8 +206,8 @@
             }
         };
         m_budgets.onLiveEntryWritten = [this] {
-            // This read finds all routers whose entries were written earlier; those that write later read this router's
-            // entry.
+            // This read finds all routers whose entries were written earlier; those that
+            // write later read this router's entry.
             if (!std::exchange(m_readAfterEntryWritten, true)) {
                 m_liveEntries.readNow();
             }
@@ -540,8 +540,8 @@
         return addresses;
     }
 
-    // For routes that are bound to regions: a router in another region would have to forward their requests across
-    // regions.
+    // For routes that are bound to regions: a router in another region would have to
+    // forward their requests across regions.
     AllowedRegions entryRegions(const PlatformQuery &query)
     {
         const auto &routes = m_relay.state().routes;
@@ -661,9 +661,9 @@
                      {"store_leases", calls(StoreCallKind::Lease)}});
     }
 
-    // A host that has enough tokens sends no requests to its peers. Without this periodic comparison it would not
-    // detect that its link is congested, and would send requests to endpoints that have left while the update was still
-    // queued.
+    // A host that has enough tokens sends no requests to its peers. Without this periodic comparison it
+    // would not detect that its link is congested, and would send requests to endpoints that have left
+    // while the update was still queued.
     void compareCopies()
     {
         const std::uint64_t requests = m_relay.counters().requests;
--- a/godwit/daemon/gateway.h
+++ b/godwit/daemon/gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One router process of the fleet on the users' platform: connects callers, endpoints, the platform's store and the
-// other routers.
+// One router process of the fleet on the users' platform: connects callers, endpoints, the
+// platform's store and the other routers.
 //
 // Single-threaded. run() returns after the graceful shutdown that SIGTERM or SIGINT starts.
 //
@@ -27,8 +27,8 @@
     Gateway(GatewaySettings settings, std::string settingsFile);
     ~Gateway();
 
-    // Opens the listeners and starts to read the store. Returns false, with `reason` set, if a listener can't be
-    // opened.
+    // Opens the listeners and starts to read the store. Returns false, with `reason` set,
+    // if a listener can't be opened.
     bool start(LastReason &reason);
 
     // Runs the event loop. Returns true if all tokens that this router held were returned to the ledger.
--- a/godwit/daemon/suspect_coordinator.cpp
+++ b/godwit/daemon/suspect_coordinator.cpp
@@ -102,8 +102,8 @@
         m_relay.state().suspects, {notice.endpoint, notice.host, notice.dataCentre, at, {}}, notice.fingerprint, run);
 }
 
-// Many routers may have answered the requests. The delay is random, so that the first clearance makes the others
-// unnecessary.
+// Many routers may have answered the requests. The delay is random, so that the first
+// clearance makes the others unnecessary.
 void SuspectCoordinator::scheduleClearance(std::set<std::uint64_t> fingerprints)
 {
     const double fraction = static_cast<double>(m_relay.random() % 1024) / 1024.0;
@@ -205,8 +205,8 @@
     for (auto it = m_records.begin(); it != m_records.end();) {
         const auto &[fingerprint, known] = *it;
         const auto attributed = attributableDeaths(m_relay.state().suspects, fingerprint);
-        // A suspect that was in flight at the same deaths as another may be distinguishable once the other has been
-        // answered.
+        // A suspect that was in flight at the same deaths as another may be distinguishable
+        // once the other has been answered.
         if (!attributed.empty() && now >= attributed.back()->at + m_options.suspects.coincidenceWindow) {
             evaluate(fingerprint);
         }
--- a/godwit/daemon/suspect_coordinator.h
+++ b/godwit/daemon/suspect_coordinator.h
@@ -75,8 +75,8 @@
     // Processes notices from another router.
     void onNotices(const std::vector<SuspectNotice> &notices);
 
-    // Periodic work, to be called twice a second: broadcasts clearances, retries failed writes and removes expired
-    // evidence and records.
+    // Periodic work, to be called twice a second: broadcasts clearances, retries failed writes
+    // and removes expired evidence and records.
     void step();
 
     FirstDeathStore &firstDeaths()
--- a/godwit/daemon/suspect_deaths.cpp
+++ b/godwit/daemon/suspect_deaths.cpp
@@ -134,8 +134,8 @@
     }
     ++m_relay.counters().endpointDeaths[death.service];
     logDeath(death, sign);
-    // If many endpoints die at once, no single request is the cause, and notices about all of them would flood the
-    // peers.
+    // If many endpoints die at once, no single request is the cause, and notices about all
+    // of them would flood the peers.
     if (!isWidespreadFailure(tracker, endpointDeath.at)) {
         notices.resize(std::min(notices.size(), m_options.maxNoticesPerDeath));
         if (broadcast && !notices.empty()) {
--- a/godwit/daemon/suspect_records.cpp
+++ b/godwit/daemon/suspect_records.cpp
@@ -171,8 +171,8 @@
     taken.firstSeenAt = now;
     taken.writtenHere = false;
     SuspectTracker &tracker = m_relay.state().suspects;
-    // The recorded deaths are dated before any that follow, one after another and outside of each other's coincidence
-    // window.
+    // The recorded deaths are dated before any that follow, one after another and
+    // outside of each other's coincidence window.
     TimePoint at = now - tracker.options.coincidenceWindow;
     for (auto death = record->deaths.rbegin(); death != record->deaths.rend(); ++death) {
         at -= std::chrono::seconds(1);
