--- a/godwit/daemon/control.cpp
+++ b/godwit/daemon/control.cpp
@@ -34,7 +34,7 @@
 // The host list is read less often in a larger fleet, so that its readers together stay below 50 reads a second.
 constexpr auto HostListPeriodPerRouter = std::chrono::milliseconds(20);
 constexpr auto CertificatePeriod = std::chrono::seconds(5);
-constexpr std::size_t MaxRefusalsTold = 256;
+constexpr std::size_t MaxLoggedRefusals = 256;
 constexpr auto FinishPoll = std::chrono::milliseconds(20);
 
 Moment currentMoment()
@@ -110,7 +110,7 @@
         platform.addresses = m_settings.platform;
         platform.host = m_settings.host.value;
         m_platform = std::make_unique<HttpPlatform>(m_io, std::move(platform));
-        if (!startCallers(reason) || !startOperators(reason) || !startNode(reason)) {
+        if (!startCallers(reason) || !startOperators(reason) || !startRouter(reason)) {
             return false;
         }
         m_poller = std::make_unique<LoadPoller>(
@@ -259,7 +259,7 @@
     }
 
     // Starts the decisions and the links to other routers under a new incarnation.
-    bool startNode(LastReason &reason)
+    bool startRouter(LastReason &reason)
     {
         ++m_generation;
         KernelOptions options;
@@ -309,7 +309,7 @@
         };
         callbacks.onRefusal = [this](const std::string &address, const Refusal &refusal) {
             // A refused router dials again and again; the log tells of it once until a link stands.
-            if (m_refusalsTold.size() >= MaxRefusalsTold || !m_refusalsTold.insert(refusal.message).second) {
+            if (m_loggedRefusals.size() >= MaxLoggedRefusals || !m_loggedRefusals.insert(refusal.message).second) {
                 return;
             }
             logEvent(
@@ -326,7 +326,7 @@
         const bool dialledHere = std::any_of(links.begin(), links.end(), [&hello](const LinkStatus &link) {
             return link.remote.incarnation == hello.incarnation && link.dialledHere;
         });
-        m_refusalsTold.clear();
+        m_loggedRefusals.clear();
         logEvent(LogLevel::Info,
                  "router_linked",
                  {{"incarnation", hello.incarnation.value}, {"address", hello.peerAddress}});
@@ -482,7 +482,7 @@
             m_mesh->stop();
             m_oldMeshes.push_back(std::move(m_mesh));
             LastReason reason;
-            if (!startNode(reason)) {
+            if (!startRouter(reason)) {
                 logEvent(LogLevel::Error, "restart_failed", {{"reason", reason ? reason->message : ""}});
                 m_io.stop();
                 return;
@@ -680,7 +680,7 @@
     std::unique_ptr<LoadPoller> m_poller;
     std::vector<std::unique_ptr<CallerServer>> m_callers;
     Metrics m_metrics;
-    std::set<std::string> m_refusalsTold;
+    std::set<std::string> m_loggedRefusals;
     std::uint64_t m_generation = 0;
     std::atomic<bool> m_ready{false};
     bool m_watchConfig = false;
--- a/godwit/daemon/fleet_links.cpp
+++ b/godwit/daemon/fleet_links.cpp
@@ -17,7 +17,7 @@
 using namespace internal;
 
 // A peer that nobody lists and nobody hears is forgotten after this long.
-constexpr Duration ForgetAfter = std::chrono::seconds(20);
+constexpr Duration PeerExpiry = std::chrono::seconds(20);
 
 } // namespace
 
@@ -56,7 +56,7 @@
     : m_relay(relay)
     , m_options(std::move(options))
     , m_timer(io)
-    , m_answerTimer(io)
+    , m_responseTimer(io)
 {
     RouterMeshOptions mesh;
     mesh.listenAddress = m_options.listenAddress;
@@ -88,7 +88,7 @@
     if (!m_mesh->start(reason)) {
         return false;
     }
-    armBeat();
+    scheduleHeartbeat();
     return true;
 }
 
@@ -109,66 +109,66 @@
             continue;
         }
         Peer &peer = m_peers[member.incarnation];
-        if (!peer.listed && peer.heardAt == TimePoint{}) {
+        if (!peer.listed && peer.lastMessageAt == TimePoint{}) {
             // Until its link stands the platform's word is enough, but for sending anyone there.
-            peer.heardAt = Relay::now();
+            peer.lastMessageAt = Relay::now();
             peer.ready = true;
         }
         peer.member = member;
         peer.listed = true;
     }
-    chooseEntries(Relay::now());
+    chooseAdvertised(Relay::now());
     dialPeers();
     chooseHomes();
 }
 
 // At once when it changes: until the others know, each of the routers that start together takes itself for the home of
 // all customers, and requests go on to a home that is leaving; and each that reaches the store again for a reader.
-void FleetLinks::tellReadiness()
+void FleetLinks::sendReadinessChange()
 {
-    if (m_readyTold != m_relay.isReady() || m_inReachTold != m_relay.state().platformInReach) {
-        beat();
+    if (m_sentReady != m_relay.isReady() || m_sentStoreReachable != m_relay.state().platformInReach) {
+        sendHeartbeat();
     }
 }
 
-void FleetLinks::beat()
+void FleetLinks::sendHeartbeat()
 {
-    m_readyTold = m_relay.isReady();
-    m_inReachTold = m_relay.state().platformInReach;
-    m_mesh->broadcast({BeatTopic, beatBody()});
+    m_sentReady = m_relay.isReady();
+    m_sentStoreReachable = m_relay.state().platformInReach;
+    m_mesh->broadcast({HeartbeatTopic, encodeHeartbeat()});
 }
 
-void FleetLinks::tellStoreFound()
+void FleetLinks::broadcastStoreReachable()
 {
-    m_mesh->broadcast({FoundTopic, {}});
+    m_mesh->broadcast({StoreReachableTopic, {}});
 }
 
-void FleetLinks::tellSuspects(const std::vector<SuspectNotice> &notices)
+void FleetLinks::announceSuspects(const std::vector<SuspectNotice> &notices)
 {
-    tellEntries({SuspectsTopic, encodeSuspectNotices(notices)});
+    sendToAdvertised({SuspectsTopic, encodeSuspectNotices(notices)});
 }
 
-bool FleetLinks::isEntry(const Peer &peer) const
+bool FleetLinks::isAdvertised(const Peer &peer) const
 {
-    return peer.member.capacity >= m_leastEntry;
+    return peer.member.capacity >= m_minAdvertisedCapacity;
 }
 
 // Routers that have no link with each other go by the platform's list.
 bool FleetLinks::isAlive(const Peer &peer, TimePoint now) const
 {
-    return isFresh(peer, now) || (peer.listed && !peer.dialled);
+    return isResponsive(peer, now) || (peer.listed && !peer.dialled);
 }
 
 void FleetLinks::measureLoad(TimePoint now)
 {
     const std::uint64_t requests = m_relay.counters().requests;
     const double seconds = toSeconds(now - std::exchange(m_measuredAt, now));
-    const double rate = static_cast<double>(requests - std::exchange(m_requestsBefore, requests)) / seconds;
-    constexpr double newest = 0.3;
-    m_load += newest * (rate - m_load);
+    const double rate = static_cast<double>(requests - std::exchange(m_measuredRequests, requests)) / seconds;
+    constexpr double weight = 0.3;
+    m_load += weight * (rate - m_load);
 }
 
-void FleetLinks::chooseEntries(TimePoint now)
+void FleetLinks::chooseAdvertised(TimePoint now)
 {
     std::vector<EntryHost> hosts{{m_options.ownCapacity, m_load}};
     for (const auto &[incarnation, peer] : m_peers) {
@@ -180,28 +180,29 @@
     for (const EntryHost &host : hosts) {
         load += host.load;
     }
-    const double kept = 1 - toSeconds(beatInterval()) / toSeconds(m_options.loadMemory);
-    m_fleetLoad = std::max(load, m_fleetLoad * kept);
+    const double decay = 1 - toSeconds(heartbeatInterval()) / toSeconds(m_options.loadDecayTime);
+    m_fleetLoad = std::max(load, m_fleetLoad * decay);
     // What has passed counts as if it came to this host.
     hosts.front().load += m_fleetLoad - load;
-    const double least = minAdvertisedCapacity(std::move(hosts), m_options.entryHosts);
-    if (least != std::exchange(m_leastEntry, least)) {
+    const double minCapacity = minAdvertisedCapacity(std::move(hosts), m_options.advertisedHosts);
+    if (minCapacity != std::exchange(m_minAdvertisedCapacity, minCapacity)) {
         m_relay.log().write(
-            "entry_hosts", {{"least_capacity", least}, {"load", m_fleetLoad}, {"own_capacity", m_options.ownCapacity}});
+            "entry_hosts",
+            {{"least_capacity", minCapacity}, {"load", m_fleetLoad}, {"own_capacity", m_options.ownCapacity}});
     }
-    m_relay.state().senders = senderGroup(now);
+    m_relay.state().senders = advertisedRouters(now);
 }
 
 // The routers that callers are told of get nearly all requests, so that they hold the shares of the fleet's limits.
-AdvertisedRouters FleetLinks::senderGroup(TimePoint now) const
+AdvertisedRouters FleetLinks::advertisedRouters(TimePoint now) const
 {
     AdvertisedRouters group;
     group.self = m_options.own.callerAddress;
-    if (isEntry()) {
+    if (isAdvertised()) {
         group.routers.push_back(group.self);
     }
     for (const auto &[incarnation, peer] : m_peers) {
-        if (peer.ready && isEntry(peer) && isAlive(peer, now)) {
+        if (peer.ready && isAdvertised(peer) && isAlive(peer, now)) {
             group.routers.push_back(peer.member.callerAddress);
         }
     }
@@ -213,21 +214,21 @@
 void FleetLinks::dialPeers()
 {
     for (auto &[incarnation, peer] : m_peers) {
-        if (!peer.dialled && peer.listed && (isEntry() || isEntry(peer))) {
+        if (!peer.dialled && peer.listed && (isAdvertised() || isAdvertised(peer))) {
             peer.dialled = true;
-            if (peer.heardAt == TimePoint{}) {
+            if (peer.lastMessageAt == TimePoint{}) {
                 // Until its link stands the platform's word is enough.
-                peer.heardAt = Relay::now();
+                peer.lastMessageAt = Relay::now();
             }
             m_mesh->connectTo(peer.member.host, peer.member.peerAddress);
         }
     }
 }
 
-void FleetLinks::tellEntries(const Envelope &envelope)
+void FleetLinks::sendToAdvertised(const Envelope &envelope)
 {
     for (const auto &[incarnation, peer] : m_peers) {
-        if (peer.linked && isEntry(peer)) {
+        if (peer.linked && isAdvertised(peer)) {
             m_mesh->send(incarnation, envelope);
         }
     }
@@ -239,8 +240,9 @@
     const auto &regions = m_relay.options().regions;
     std::vector<EntryAddress> addresses;
     for (const auto &[incarnation, peer] : m_peers) {
-        if (peer.ready && peer.beatHeard && isFresh(peer, now)) {
-            addresses.push_back({peer.member.callerAddress, regionOf(regions, peer.member.dataCentre), isEntry(peer)});
+        if (peer.ready && peer.heartbeatReceived && isResponsive(peer, now)) {
+            addresses.push_back(
+                {peer.member.callerAddress, regionOf(regions, peer.member.dataCentre), isAdvertised(peer)});
         }
     }
     return addresses;
@@ -254,55 +256,56 @@
            }));
 }
 
-void FleetLinks::armBeat()
+void FleetLinks::scheduleHeartbeat()
 {
-    m_beatAt = m_peers.empty() ? Relay::now() + m_options.aloneInterval : Relay::now() + beatInterval();
-    armLook();
+    m_nextHeartbeatAt =
+        m_peers.empty() ? Relay::now() + m_options.soloCheckInterval : Relay::now() + heartbeatInterval();
+    scheduleCheck();
 }
 
 // Looks often whether the readiness has changed; beats when it is time.
-void FleetLinks::armLook()
+void FleetLinks::scheduleCheck()
 {
-    m_timer.expires_at(std::min(m_beatAt, Relay::now() + m_options.lookInterval));
+    m_timer.expires_at(std::min(m_nextHeartbeatAt, Relay::now() + m_options.readinessCheckInterval));
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (error) {
             return;
         }
-        tellReadiness();
-        keepAhead();
-        if (Relay::now() < m_beatAt) {
-            armLook();
+        sendReadinessChange();
+        prefetchTokens();
+        if (Relay::now() < m_nextHeartbeatAt) {
+            scheduleCheck();
             return;
         }
         measureLoad(Relay::now());
         m_relay.state().liveRouters = liveCount();
-        forgetSilent(Relay::now());
-        chooseEntries(Relay::now());
+        dropUnresponsive(Relay::now());
+        chooseAdvertised(Relay::now());
         dialPeers();
         chooseHomes();
-        sendLeftovers();
-        beat();
-        armBeat();
+        returnUnusedTokens();
+        sendHeartbeat();
+        scheduleHeartbeat();
     });
 }
 
-std::string FleetLinks::beatBody() const
+std::string FleetLinks::encodeHeartbeat() const
 {
     const auto &share = m_relay.state().prepaid;
     json held = json::object();
     for (const auto &[customer, account] : share.accounts) {
         // Also a former home that has used all of its grant: others would take it for unused.
-        const bool tells = account.isHome || account.granted > 0;
-        if (account.bounded && tells && held.size() < m_options.maxCustomersInBeat) {
-            held[customer.value] = heldRow(customer);
+        const bool included = account.isHome || account.granted > 0;
+        if (account.bounded && included && held.size() < m_options.maxCustomersPerHeartbeat) {
+            held[customer.value] = encodeHolding(customer);
         }
     }
-    return toBytes(json{{"ready", m_relay.isReady()},
-                        {"store", m_relay.state().platformInReach},
-                        {"copies", copyStatesRow()},
-                        {"load", m_load},
-                        {"capacity", m_options.ownCapacity},
-                        {"held", std::move(held)}});
+    return encodeCbor(json{{"ready", m_relay.isReady()},
+                           {"store", m_relay.state().platformInReach},
+                           {"copies", encodeCopyStates()},
+                           {"load", m_load},
+                           {"capacity", m_options.ownCapacity},
+                           {"held", std::move(held)}});
 }
 
 void FleetLinks::onLinkUp(const Hello &hello)
@@ -310,13 +313,13 @@
     Peer &peer = m_peers[hello.incarnation];
     peer.linked = true;
     peer.linkedAt = Relay::now();
-    peer.heardAt = peer.linkedAt;
+    peer.lastMessageAt = peer.linkedAt;
     if (!peer.listed) {
         peer.member =
             FleetMember{hello.host, hello.incarnation, hello.dataCentre, hello.callerAddress, hello.peerAddress};
     }
     m_relay.log().write("peer_linked", {{"peer", std::string_view(hello.incarnation.value)}});
-    m_mesh->send(hello.incarnation, {BeatTopic, beatBody()});
+    m_mesh->send(hello.incarnation, {HeartbeatTopic, encodeHeartbeat()});
 }
 
 void FleetLinks::onLinkDown(const Incarnation &incarnation)
@@ -335,23 +338,23 @@
     if (found == m_peers.end()) {
         return;
     }
-    found->second.heardAt = Relay::now();
-    if (envelope.topic == BeatTopic) {
-        onBeat(found->second, envelope.body);
-    } else if (envelope.topic == AskTopic) {
-        onAsk(found->second, envelope.body);
-    } else if (envelope.topic == WishTopic) {
-        onWish(found->second, envelope.body);
-    } else if (envelope.topic == GiveTopic) {
-        onGive(found->second, envelope.body);
+    found->second.lastMessageAt = Relay::now();
+    if (envelope.topic == HeartbeatTopic) {
+        onHeartbeat(found->second, envelope.body);
+    } else if (envelope.topic == TokenReclaimTopic) {
+        onTokenReclaim(found->second, envelope.body);
+    } else if (envelope.topic == TokenRequestTopic) {
+        onTokenRequest(found->second, envelope.body);
+    } else if (envelope.topic == TokenTransferTopic) {
+        onTokenTransfer(found->second, envelope.body);
     } else if (envelope.topic == LedgerTopic) {
         onLedger(envelope.body);
-    } else if (envelope.topic == FoundTopic && onStoreFound) {
-        onStoreFound();
+    } else if (envelope.topic == StoreReachableTopic && onStoreReachable) {
+        onStoreReachable();
     } else if (envelope.topic == SuspectsTopic && onSuspects) {
         onSuspects(decodeSuspectNotices(envelope.body));
     } else if (envelope.topic == PromptTopic) {
-        onPromptTold(envelope.body);
+        onPromptAnnounced(envelope.body);
     } else if (envelope.topic == UpdateTopic) {
         onUpdateReceived(from, envelope.body);
     } else if (envelope.topic == RelayedUpdateTopic) {
@@ -363,43 +366,43 @@
     }
 }
 
-void FleetLinks::onBeat(Peer &peer, const std::string &body)
+void FleetLinks::onHeartbeat(Peer &peer, const std::string &body)
 {
-    const json beat = fromBytes(body);
-    if (!beat.is_object()) {
+    const json heartbeat = decodeCbor(body);
+    if (!heartbeat.is_object()) {
         return;
     }
-    const auto ready = beat.find("ready");
-    const bool wasReady = peer.ready && std::exchange(peer.beatHeard, true);
-    peer.ready = ready != beat.end() && ready->is_boolean() && ready->get<bool>();
-    const auto store = beat.find("store");
-    peer.storeInReach = store != beat.end() && store->is_boolean() && store->get<bool>();
-    const auto load = beat.find("load");
-    peer.load = load != beat.end() && load->is_number() ? load->get<double>() : 0;
-    const auto capacity = beat.find("capacity");
-    if (capacity != beat.end() && capacity->is_number()) {
+    const auto ready = heartbeat.find("ready");
+    const bool wasReady = peer.ready && std::exchange(peer.heartbeatReceived, true);
+    peer.ready = ready != heartbeat.end() && ready->is_boolean() && ready->get<bool>();
+    const auto store = heartbeat.find("store");
+    peer.storeReachable = store != heartbeat.end() && store->is_boolean() && store->get<bool>();
+    const auto load = heartbeat.find("load");
+    peer.load = load != heartbeat.end() && load->is_number() ? load->get<double>() : 0;
+    const auto capacity = heartbeat.find("capacity");
+    if (capacity != heartbeat.end() && capacity->is_number()) {
         peer.member.capacity = capacity->get<double>();
     }
     if (peer.ready != wasReady) {
         chooseHomes();
         m_relay.requestNeededTokens();
     }
-    readHeld(beat, HolderId{peer.member.callerAddress});
-    readCopyStates(peer.member.incarnation, beat);
+    applyHoldings(heartbeat, HolderId{peer.member.callerAddress});
+    onCopyStates(peer.member.incarnation, heartbeat);
 }
 
-void FleetLinks::tellLedger(std::uint64_t revision, const std::string &ledger)
+void FleetLinks::broadcastLedger(std::uint64_t revision, const std::string &ledger)
 {
     if (ledger.size() > m_options.maxSharedLedgerBytes) {
         return;
     }
-    const std::string body = toBytes(json::array({revision, ledger}));
-    tellEntries({LedgerTopic, body});
+    const std::string body = encodeCbor(json::array({revision, ledger}));
+    sendToAdvertised({LedgerTopic, body});
 }
 
 void FleetLinks::onLedger(const std::string &body)
 {
-    const json message = fromBytes(body);
+    const json message = decodeCbor(body);
     if (!message.is_array() || message.size() != 2 || !message[0].is_number_unsigned() || !message[1].is_string()) {
         return;
     }
@@ -413,11 +416,11 @@
 
 // A router may tell one prompt each `pause`. While it has more than that to tell, the shortest told grows; while it has
 // less, it shrinks.
-void FleetLinks::tellPrompt(const PromptSent &prompt, Duration reading)
+void FleetLinks::announcePrompt(const PromptSent &prompt, Duration reading)
 {
-    const double least = toSeconds(m_options.toldPromptFrom);
-    m_toldFrom = std::max(m_toldFrom, least);
-    if (m_peers.empty() || toSeconds(reading) < m_toldFrom) {
+    const double minSeconds = toSeconds(m_options.minAnnouncedPromptTime);
+    m_minAnnouncedSeconds = std::max(m_minAnnouncedSeconds, minSeconds);
+    if (m_peers.empty() || toSeconds(reading) < m_minAnnouncedSeconds) {
         return;
     }
     const TimePoint now = Relay::now();
@@ -425,20 +428,23 @@
     const auto routers = static_cast<double>(std::count_if(m_peers.begin(),
                                                            m_peers.end(),
                                                            [this](const auto &entry) {
-                                                               return entry.second.linked && isEntry(entry.second);
+                                                               return entry.second.linked && isAdvertised(entry.second);
                                                            })
                                              + 1);
-    const double pause = routers * std::max(1.0, routers - 1) / m_options.promptsHeardPerSecond;
-    const double pauses = toSeconds(now - m_promptToldAt) / pause;
+    const double interval = routers * std::max(1.0, routers - 1) / m_options.maxPromptsReceivedPerSecond;
+    const double elapsedIntervals = toSeconds(now - m_promptAnnouncedAt) / interval;
     constexpr double step = 1.1;
-    m_toldFrom = pauses < 1 ? m_toldFrom * step : std::max(least, m_toldFrom / std::min(pauses, step));
-    m_promptToldAt = now;
-    tellEntries({PromptTopic, toBytes(json::array({prompt.endpoint.value, prompt.uncachedTokens, prompt.prefix}))});
+    m_minAnnouncedSeconds = elapsedIntervals < 1
+        ? m_minAnnouncedSeconds * step
+        : std::max(minSeconds, m_minAnnouncedSeconds / std::min(elapsedIntervals, step));
+    m_promptAnnouncedAt = now;
+    sendToAdvertised(
+        {PromptTopic, encodeCbor(json::array({prompt.endpoint.value, prompt.uncachedTokens, prompt.prefix}))});
 }
 
-void FleetLinks::onPromptTold(const std::string &body)
+void FleetLinks::onPromptAnnounced(const std::string &body)
 {
-    const json message = fromBytes(body);
+    const json message = decodeCbor(body);
     const bool wellFormed = message.is_array() && message.size() == 3 && message[0].is_string()
         && message[1].is_number_integer() && message[2].is_string();
     if (!wellFormed) {
@@ -450,43 +456,44 @@
 }
 
 // Grows with the fleet, so that a router's messages a second do not.
-Duration FleetLinks::beatInterval() const
+Duration FleetLinks::heartbeatInterval() const
 {
-    return beatIntervalOf(isEntry());
+    return heartbeatIntervalOf(isAdvertised());
 }
 
-Duration FleetLinks::beatIntervalOf(bool entry) const
+Duration FleetLinks::heartbeatIntervalOf(bool advertised) const
 {
     const auto peers = static_cast<Duration::rep>(m_peers.size());
-    const Duration full = std::max(m_options.beatInterval, m_options.beatInterval * peers / m_options.peersAtFullRate);
-    return entry ? full : full * m_options.quietBeats;
+    const Duration full =
+        std::max(m_options.heartbeatInterval, m_options.heartbeatInterval * peers / m_options.maxPeersAtBaseInterval);
+    return advertised ? full : full * m_options.unadvertisedHeartbeatFactor;
 }
 
-bool FleetLinks::isFresh(const Peer &peer, TimePoint now) const
+bool FleetLinks::isResponsive(const Peer &peer, TimePoint now) const
 {
-    return now < peer.heardAt + beatIntervalOf(isEntry(peer)) * m_options.freshBeats;
+    return now < peer.lastMessageAt + heartbeatIntervalOf(isAdvertised(peer)) * m_options.responsiveHeartbeats;
 }
 
-void FleetLinks::forgetSilent(TimePoint now)
+void FleetLinks::dropUnresponsive(TimePoint now)
 {
-    std::set<HolderId> heard;
+    std::set<HolderId> responsive;
     for (const auto &[incarnation, peer] : m_peers) {
-        if (isFresh(peer, now)) {
-            heard.insert(HolderId{peer.member.callerAddress});
+        if (isResponsive(peer, now)) {
+            responsive.insert(HolderId{peer.member.callerAddress});
         }
     }
     for (auto &[customer, holders] : m_relay.state().prepaid.peerHoldings) {
         for (auto it = holders.begin(); it != holders.end();) {
-            it = heard.count(it->first) == 0 ? holders.erase(it) : std::next(it);
+            it = responsive.count(it->first) == 0 ? holders.erase(it) : std::next(it);
         }
     }
     for (auto it = m_peers.begin(); it != m_peers.end();) {
         const Peer &peer = it->second;
-        const bool forget = !peer.listed && !peer.linked && now > peer.heardAt + ForgetAfter;
-        if (forget) {
+        const bool expired = !peer.listed && !peer.linked && now > peer.lastMessageAt + PeerExpiry;
+        if (expired) {
             m_mesh->dropPeer(peer.member.host);
         }
-        it = forget ? m_peers.erase(it) : std::next(it);
+        it = expired ? m_peers.erase(it) : std::next(it);
     }
 }
 
--- a/godwit/daemon/fleet_links_test.cpp
+++ b/godwit/daemon/fleet_links_test.cpp
@@ -33,12 +33,12 @@
     {
         relay.state().stage = RelayStage::Serving;
         links.snapshotFor = [this](const SnapshotRequest &request) {
-            ++questions;
-            entriesAsked += request.stateOnly ? 0 : 1;
+            ++requestsReceived;
+            itemRequests += request.stateOnly ? 0 : 1;
             PrefixSnapshot snapshot;
             snapshot.state = {request.prefix, 7, request.digest};
-            if (entryBytes > 0) {
-                snapshot.items = {StoreItem{"op/a", std::string(entryBytes, 'x'), 7, false}};
+            if (itemBytes > 0) {
+                snapshot.items = {StoreItem{"op/a", std::string(itemBytes, 'x'), 7, false}};
             }
             return std::optional(snapshot);
         };
@@ -47,7 +47,7 @@
         };
         links.onSnapshot = [this](const PrefixSnapshot &snapshot) {
             ++snapshots;
-            withEntries += snapshot.items ? 1 : 0;
+            snapshotsWithItems += snapshot.items ? 1 : 0;
         };
         LastReason reason;
         REQUIRE(links.start(reason));
@@ -64,9 +64,9 @@
         options.listenAddress = self.peerAddress;
         options.ownCapacity = self.capacity;
         // What goes out at once, and next to nothing afterwards.
-        options.snapshots.perSecond = 1;
+        options.snapshotRate.perSecond = 1;
         // Hosts of all sizes are listed, and so linked.
-        options.entryHosts.targetUtilization = -1;
+        options.advertisedHosts.targetUtilization = -1;
         return options;
     }
 
@@ -81,12 +81,12 @@
     Relay relay;
     FleetMember self;
     FleetLinks links;
-    std::size_t entryBytes = 0; // Of the entries in this router's snapshots.
+    std::size_t itemBytes = 0; // Of the entries in this router's snapshots.
     int snapshots = 0;
-    int withEntries = 0; // Of these.
+    int snapshotsWithItems = 0; // Of these.
     int updates = 0;
-    int questions = 0;
-    int entriesAsked = 0;
+    int requestsReceived = 0;
+    int itemRequests = 0;
 };
 
 struct Routers
@@ -110,12 +110,12 @@
         return *all[number];
     }
 
-    void run(std::chrono::milliseconds time, const std::vector<const Router *> &heldUp = {})
+    void run(std::chrono::milliseconds time, const std::vector<const Router *> &paused = {})
     {
         const auto end = std::chrono::steady_clock::now() + time;
         while (std::chrono::steady_clock::now() < end) {
             for (const auto &router : all) {
-                if (std::find(heldUp.begin(), heldUp.end(), router.get()) == heldUp.end()) {
+                if (std::find(paused.begin(), paused.end(), router.get()) == paused.end()) {
                     router->run(std::chrono::milliseconds(4));
                 }
             }
@@ -145,7 +145,7 @@
     routers[0].links.compareCopies({{"servers/", 0, 9}});
     routers.run(std::chrono::milliseconds(100));
     REQUIRE(routers[0].snapshots == 1);
-    CHECK(routers[1].entriesAsked == 0);
+    CHECK(routers[1].itemRequests == 0);
     CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
     routers[0].links.compareCopies({{"servers/", 0, 9}});
     routers.run(std::chrono::milliseconds(600), {&routers[1]});
@@ -186,16 +186,16 @@
     // Hosts that had asked two frozen peers refused all their callers once these went on.
     Routers routers({"a", "b", "c", "d"});
     const std::vector<const Router *> frozen{&routers[1], &routers[2]};
-    const auto ask = [&] {
-        const int before = routers[3].questions;
+    const auto probe = [&] {
+        const int before = routers[3].requestsReceived;
         routers[0].links.compareCopies({{"servers/", 0, 9}});
         routers.run(std::chrono::milliseconds(20), frozen);
-        return routers[3].questions > before;
+        return routers[3].requestsReceived > before;
     };
-    while (ask()) {
+    while (probe()) {
         routers.run(std::chrono::milliseconds(20));
     }
-    while (!ask()) { }
+    while (!probe()) { }
     routers.run(std::chrono::milliseconds(600), frozen);
     routers.run(std::chrono::milliseconds(100));
     CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
@@ -253,17 +253,17 @@
 {
     // Guards against a full link, and an old document behind it, at the only host that reaches the store.
     Routers routers({"a", "b"});
-    Router &asker = routers[0];
-    Router &asked = routers[1];
-    asked.entryBytes = 200UL * 1024;
+    Router &requester = routers[0];
+    Router &responder = routers[1];
+    responder.itemBytes = 200UL * 1024;
     for (int i = 0; i < 20; ++i) {
-        CHECK(asker.links.askSnapshot(asked.self.incarnation, {"op/", 0, 9}));
+        CHECK(requester.links.requestSnapshot(responder.self.incarnation, {"op/", 0, 9}));
     }
     routers.runUntil([&] {
-        return asker.snapshots == 20;
+        return requester.snapshots == 20;
     });
-    CHECK(asker.snapshots == 20);
-    CHECK(asker.withEntries == 2);
+    CHECK(requester.snapshots == 20);
+    CHECK(requester.snapshotsWithItems == 2);
 }
 
 TEST_CASE("a small host sends a large snapshot to the largest hosts alone")
@@ -271,15 +271,15 @@
     // Guards against documents that reach the fleet late because a small host's link carries them to its like first.
     Routers routers({"small", "alike", "large"}, {10, 10, 100});
     Router &small = routers[0];
-    small.entryBytes = 100UL * 1024;
-    for (std::size_t asker : {1, 2}) {
-        CHECK(routers[asker].links.askSnapshot(small.self.incarnation, {"op/", 0, 9}));
+    small.itemBytes = 100UL * 1024;
+    for (std::size_t requester : {1, 2}) {
+        CHECK(routers[requester].links.requestSnapshot(small.self.incarnation, {"op/", 0, 9}));
         routers.runUntil([&] {
-            return routers[asker].snapshots == 1;
+            return routers[requester].snapshots == 1;
         });
     }
-    CHECK(routers[1].withEntries == 0);
-    CHECK(routers[2].withEntries == 1);
+    CHECK(routers[1].snapshotsWithItems == 0);
+    CHECK(routers[2].snapshotsWithItems == 1);
 }
 
 TEST_CASE("near the end of a budget a router tells the others what sizes it is asked for")
@@ -293,23 +293,23 @@
     share.accounts.at(desk).granted = 4000;
     share.ledger.accounts[desk].total = total;
     noteRequest(share, desk, 500, Relay::now());
-    const auto &heard = routers[1].relay.state().prepaid.peerHoldings;
-    const auto told = [&] {
-        const auto found = heard.find(desk);
-        return found == heard.end() || found->second.empty() ? std::nullopt
-                                                             : std::optional(found->second.begin()->second);
+    const auto &received = routers[1].relay.state().prepaid.peerHoldings;
+    const auto latest = [&] {
+        const auto found = received.find(desk);
+        return found == received.end() || found->second.empty() ? std::nullopt
+                                                                : std::optional(found->second.begin()->second);
     };
     routers.runUntil([&] {
-        return told().has_value();
+        return latest().has_value();
     });
-    REQUIRE(told().has_value());
-    CHECK(told()->remaining == total + 4000);
-    CHECK(told()->demandBySize.empty());
+    REQUIRE(latest().has_value());
+    CHECK(latest()->remaining == total + 4000);
+    CHECK(latest()->demandBySize.empty());
 
     share.ledger.accounts[desk].spent = total - 2000;
     routers.runUntil([&] {
-        return !told()->demandBySize.empty();
+        return !latest()->demandBySize.empty();
     });
-    CHECK(told()->remaining == 6000);
-    CHECK(told()->demandBySize.size() == 1);
+    CHECK(latest()->remaining == 6000);
+    CHECK(latest()->demandBySize.size() == 1);
 }
--- a/godwit/daemon/fleet_messages.cpp
+++ b/godwit/daemon/fleet_messages.cpp
@@ -14,14 +14,14 @@
 
 } // namespace
 
-std::string toBytes(const json &value)
+std::string encodeCbor(const json &value)
 {
     std::string bytes;
     json::to_cbor(value, bytes);
     return bytes;
 }
 
-json fromBytes(const std::string &bytes)
+json decodeCbor(const std::string &bytes)
 {
     if (!hasBoundedShape(bytes, MaxDepth)) {
         return {};
@@ -30,7 +30,7 @@
     return value.is_discarded() ? json() : value;
 }
 
-std::optional<Amounts> readAmounts(const json &message, std::size_t count)
+std::optional<Amounts> decodeAmounts(const json &message, std::size_t count)
 {
     if (!message.is_array() || message.size() != 1 + count || !message[0].is_string()) {
         return std::nullopt;
--- a/godwit/daemon/fleet_messages.h
+++ b/godwit/daemon/fleet_messages.h
@@ -17,12 +17,12 @@
 namespace Godwit::internal
 {
 
-inline constexpr const char *BeatTopic = "beat";
-inline constexpr const char *AskTopic = "ask";
-inline constexpr const char *WishTopic = "wish";
-inline constexpr const char *GiveTopic = "give";
+inline constexpr const char *HeartbeatTopic = "beat";
+inline constexpr const char *TokenReclaimTopic = "ask";
+inline constexpr const char *TokenRequestTopic = "wish";
+inline constexpr const char *TokenTransferTopic = "give";
 inline constexpr const char *LedgerTopic = "ledger";
-inline constexpr const char *FoundTopic = "store-found";
+inline constexpr const char *StoreReachableTopic = "store-found";
 inline constexpr const char *UpdateTopic = "update";
 inline constexpr const char *RelayedUpdateTopic = "relayed-update";
 inline constexpr const char *SnapshotRequestTopic = "snapshot-request";
@@ -31,20 +31,20 @@
 inline constexpr const char *SuspectsTopic = "suspects";
 
 // An array of tokens has room for this many.
-inline constexpr std::size_t MostAmounts = 3;
+inline constexpr std::size_t MaxAmounts = 3;
 
-std::string toBytes(const nlohmann::json &value);
+std::string encodeCbor(const nlohmann::json &value);
 
 // A malformed message of another version or a broken process is worth nothing: it reads as null.
-nlohmann::json fromBytes(const std::string &bytes);
+nlohmann::json decodeCbor(const std::string &bytes);
 
 struct Amounts
 {
     CustomerId customer;
-    std::array<Tokens, MostAmounts> tokens{};
+    std::array<Tokens, MaxAmounts> tokens{};
 };
 
 // A customer with `count` amounts of tokens, at most MostAmounts.
-std::optional<Amounts> readAmounts(const nlohmann::json &message, std::size_t count);
+std::optional<Amounts> decodeAmounts(const nlohmann::json &message, std::size_t count);
 
 } // namespace Godwit::internal
--- a/godwit/daemon/fleet_copies.cpp
+++ b/godwit/daemon/fleet_replication.cpp
@@ -30,17 +30,17 @@
 
 std::string encodeRelayed(const RelayedUpdate &relayed)
 {
-    return toBytes(json::array({relayed.members, relayed.origin, encodeState(relayed.state), relayed.update}));
+    return encodeCbor(json::array({relayed.members, relayed.origin, encodeState(relayed.state), relayed.update}));
 }
 
 std::optional<RelayedUpdate> decodeRelayed(const std::string &bytes)
 {
-    const json message = fromBytes(bytes);
+    const json message = decodeCbor(bytes);
     try {
         RelayedUpdate relayed;
         relayed.members = message.at(0).get<std::vector<std::string>>();
         relayed.origin = message.at(1).get<std::string>();
-        relayed.state = readState(message.at(2));
+        relayed.state = decodeState(message.at(2));
         relayed.update = message.at(3).get<std::string>();
         return relayed;
     } catch (const json::exception &) {
@@ -53,25 +53,25 @@
 void FleetLinks::sendUpdate(const PrefixUpdate &update)
 {
     const std::string body = encodeUpdate(update);
-    if (body.size() * m_peers.size() < m_options.relayUpdatesFrom) {
+    if (body.size() * m_peers.size() < m_options.minRelayedUpdateBytes) {
         m_mesh->broadcast({UpdateTopic, body});
         return;
     }
     // The largest hosts pass on: they have links with all others, and a small one's own requests would wait.
-    const double least = leastOfLargestKind(Relay::now());
+    const double minCapacity = minLargestClassCapacity(Relay::now());
     std::vector<const Peer *> peers;
     std::size_t large = 0;
     for (const auto &[incarnation, peer] : m_peers) {
         if (peer.linked) {
             peers.push_back(&peer);
-            large += isEntry(peer) && peer.member.capacity >= least ? 1 : 0;
+            large += isAdvertised(peer) && peer.member.capacity >= minCapacity ? 1 : 0;
         }
     }
     std::stable_sort(peers.begin(), peers.end(), [](const Peer *a, const Peer *b) {
         return a->member.capacity > b->member.capacity;
     });
-    const auto square = static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(peers.size()))));
-    const std::size_t groups = large == 0 ? peers.size() : std::min(large, square);
+    const auto squareRoot = static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(peers.size()))));
+    const std::size_t groups = large == 0 ? peers.size() : std::min(large, squareRoot);
     std::vector<RelayedUpdate> messages(groups, RelayedUpdate{{}, m_options.own.incarnation.value, update.state, body});
     for (std::size_t i = groups; i < peers.size(); ++i) {
         messages[i % groups].members.push_back(peers[i]->member.incarnation.value);
@@ -82,7 +82,7 @@
     m_relay.log().write("update_sent",
                         {{"prefix", std::string_view(update.state.prefix)},
                          {"complete_to", static_cast<std::int64_t>(update.state.completeTo)},
-                         {"from_reading", update.fromReading},
+                         {"from_reading", update.fromFullRead},
                          {"bytes", static_cast<std::int64_t>(body.size())},
                          {"peers", static_cast<std::int64_t>(peers.size())},
                          {"groups", static_cast<std::int64_t>(groups)}});
@@ -94,13 +94,13 @@
     if (!relayed) {
         return;
     }
-    const bool isNew = !hasAll(relayed->state);
+    const bool isNew = !holdsState(relayed->state);
     m_relay.log().write("update_received",
                         {{"prefix", std::string_view(relayed->state.prefix)},
                          {"complete_to", static_cast<std::int64_t>(relayed->state.completeTo)},
                          {"origin", std::string_view(relayed->origin)},
                          {"passed_on", static_cast<std::int64_t>(relayed->members.size())},
-                         {"queued_bytes", static_cast<std::int64_t>(queuedBytes())},
+                         {"queued_bytes", static_cast<std::int64_t>(maxQueuedBytes())},
                          {"new", isNew}});
     const std::string passedOn = encodeRelayed({{}, relayed->origin, relayed->state, relayed->update});
     for (const std::string &member : relayed->members) {
@@ -112,16 +112,16 @@
 }
 
 // What waits for the slowest of the peers.
-std::size_t FleetLinks::queuedBytes() const
+std::size_t FleetLinks::maxQueuedBytes() const
 {
-    std::size_t most = 0;
+    std::size_t maximum = 0;
     for (const LinkStatus &link : m_mesh->links()) {
-        most = std::max(most, link.queuedBytes);
+        maximum = std::max(maximum, link.queuedBytes);
     }
-    return most;
+    return maximum;
 }
 
-bool FleetLinks::hasAll(const PrefixState &state) const
+bool FleetLinks::holdsState(const PrefixState &state) const
 {
     const auto own = copyStates ? copyStates() : std::vector<PrefixState>{};
     return std::any_of(own.begin(), own.end(), [&state](const PrefixState &copy) {
@@ -137,19 +137,19 @@
     }
 }
 
-bool FleetLinks::askSnapshot(const Incarnation &peer, SnapshotRequest request)
+bool FleetLinks::requestSnapshot(const Incarnation &peer, SnapshotRequest request)
 {
-    request.stamp = Relay::now().time_since_epoch().count();
+    request.timestamp = Relay::now().time_since_epoch().count();
     return m_mesh->send(peer, {SnapshotRequestTopic, encodeSnapshotRequest(request)});
 }
 
 // Linked routers that callers are told of, in an order drawn by lot.
-std::vector<Incarnation> FleetLinks::drawPeers()
+std::vector<Incarnation> FleetLinks::shuffledPeers()
 {
     std::vector<Incarnation> peers;
     const TimePoint now = Relay::now();
     for (const auto &[incarnation, peer] : m_peers) {
-        if (peer.linked && peer.ready && isEntry(peer) && isFresh(peer, now)) {
+        if (peer.linked && peer.ready && isAdvertised(peer) && isResponsive(peer, now)) {
             peers.push_back(incarnation);
         }
     }
@@ -159,26 +159,26 @@
     return peers;
 }
 
-bool FleetLinks::askAnySnapshot(const SnapshotRequest &request)
+bool FleetLinks::requestSnapshotFromAny(const SnapshotRequest &request)
 {
-    const auto peers = drawPeers();
-    return !peers.empty() && askSnapshot(peers.front(), request);
+    const auto peers = shuffledPeers();
+    return !peers.empty() && requestSnapshot(peers.front(), request);
 }
 
 // Of two, so that a slow peer does not count as a full link of this host: the first answer says how late they come.
 void FleetLinks::compareCopies(const std::vector<SnapshotRequest> &requests)
 {
-    constexpr std::size_t asked = 2;
-    auto peers = drawPeers();
-    peers.resize(std::min(peers.size(), asked));
-    const std::int64_t stamp = Relay::now().time_since_epoch().count();
-    m_lagStamps.push_back(stamp);
-    if (m_lagStamps.size() > m_options.maxOpenLagQuestions) {
-        m_lagStamps.pop_front();
+    constexpr std::size_t probedPeers = 2;
+    auto peers = shuffledPeers();
+    peers.resize(std::min(peers.size(), probedPeers));
+    const std::int64_t timestamp = Relay::now().time_since_epoch().count();
+    m_lagProbes.push_back(timestamp);
+    if (m_lagProbes.size() > m_options.maxOpenLagProbes) {
+        m_lagProbes.pop_front();
     }
     for (const Incarnation &peer : peers) {
         for (SnapshotRequest request : requests) {
-            request.stamp = stamp;
+            request.timestamp = timestamp;
             // While copies change each answer would else carry all entries.
             request.stateOnly = true;
             m_mesh->send(peer, {SnapshotRequestTopic, encodeSnapshotRequest(request)});
@@ -192,11 +192,11 @@
     if (!snapshot) {
         return;
     }
-    const auto question = std::find(m_lagStamps.begin(), m_lagStamps.end(), snapshot->stamp);
-    if (question != m_lagStamps.end()) {
+    const auto probe = std::find(m_lagProbes.begin(), m_lagProbes.end(), snapshot->timestamp);
+    if (probe != m_lagProbes.end()) {
         // Answers to earlier questions that come after this one are late by their sender, not by this host's link.
-        m_lagStamps.erase(m_lagStamps.begin(), std::next(question));
-        noteLag(snapshot->stamp);
+        m_lagProbes.erase(m_lagProbes.begin(), std::next(probe));
+        recordLag(snapshot->timestamp);
     }
     if (onSnapshot) {
         onSnapshot(*snapshot);
@@ -207,13 +207,13 @@
 bool FleetLinks::maySendSnapshot(const Incarnation &to, std::size_t bytes)
 {
     const TimePoint now = Relay::now();
-    const double least = leastOfLargestKind(now);
+    const double minCapacity = minLargestClassCapacity(now);
     const auto peer = m_peers.find(to);
-    const bool toLargest = peer != m_peers.end() && peer->second.member.capacity >= least;
-    if (bytes >= m_options.largeSnapshot && m_options.ownCapacity < least && !toLargest) {
+    const bool toLargest = peer != m_peers.end() && peer->second.member.capacity >= minCapacity;
+    if (bytes >= m_options.minLargeSnapshotBytes && m_options.ownCapacity < minCapacity && !toLargest) {
         return false;
     }
-    return tryTakeBytes(m_snapshotBytes, m_options.snapshots, bytes, now);
+    return tryTakeBytes(m_snapshotBytes, m_options.snapshotRate, bytes, now);
 }
 
 void FleetLinks::onSnapshotRequest(const Incarnation &from, const std::string &body)
@@ -223,7 +223,7 @@
     if (!snapshot) {
         return;
     }
-    snapshot->stamp = request->stamp;
+    snapshot->timestamp = request->timestamp;
     std::string answer = encodeSnapshot(*snapshot);
     const auto bytes = static_cast<std::int64_t>(answer.size());
     const bool hasItems = snapshot->items.has_value();
@@ -242,52 +242,52 @@
     }
 }
 
-double FleetLinks::partHeard() const
+double FleetLinks::responsivePeerFraction() const
 {
     const TimePoint now = Relay::now();
     int listed = 0;
-    int heard = 0;
+    int responsive = 0;
     for (const auto &[incarnation, peer] : m_peers) {
         if (peer.listed && peer.dialled) {
             ++listed;
-            heard += peer.linked && isFresh(peer, now) ? 1 : 0;
+            responsive += peer.linked && isResponsive(peer, now) ? 1 : 0;
         }
     }
-    return listed == 0 ? 1.0 : static_cast<double>(heard) / listed;
+    return listed == 0 ? 1.0 : static_cast<double>(responsive) / listed;
 }
 
-double FleetLinks::partWithoutStore() const
+double FleetLinks::storeUnreachableFraction() const
 {
     const TimePoint now = Relay::now();
-    int heard = 0;
-    int without = 0;
+    int responsive = 0;
+    int unreachable = 0;
     for (const auto &[incarnation, peer] : m_peers) {
-        if (peer.linked && peer.beatHeard && isFresh(peer, now)) {
-            ++heard;
-            without += peer.storeInReach ? 0 : 1;
+        if (peer.linked && peer.heartbeatReceived && isResponsive(peer, now)) {
+            ++responsive;
+            unreachable += peer.storeReachable ? 0 : 1;
         }
     }
-    return heard == 0 ? 1.0 : static_cast<double>(without) / heard;
+    return responsive == 0 ? 1.0 : static_cast<double>(unreachable) / responsive;
 }
 
 // By rank, so that all agree without a word.
 std::optional<int> FleetLinks::readerRankOf(const std::string &prefix) const
 {
     const TimePoint now = Relay::now();
-    const double least = leastOfLargestKind(now);
-    if (!m_relay.isReady() || !isEntry() || !m_settled || m_options.ownCapacity < least) {
+    const double minCapacity = minLargestClassCapacity(now);
+    if (!m_relay.isReady() || !isAdvertised() || !m_settled || m_options.ownCapacity < minCapacity) {
         return std::nullopt;
     }
     std::vector<std::uint64_t> weights;
     for (const auto &[incarnation, peer] : m_peers) {
-        if (isServing(peer, now) && peer.storeInReach && peer.member.capacity >= least) {
+        if (isServing(peer, now) && peer.storeReachable && peer.member.capacity >= minCapacity) {
             weights.push_back(rendezvousWeight(prefix, peer.member.callerAddress));
         }
     }
     return readerRank(rendezvousWeight(prefix, m_options.own.callerAddress), weights, m_options.readers);
 }
 
-json FleetLinks::copyStatesRow() const
+json FleetLinks::encodeCopyStates() const
 {
     json row = json::array();
     if (copyStates) {
@@ -299,16 +299,16 @@
 }
 
 // A router that came while nobody could read, or lost all that was told, sees here that others hold more.
-void FleetLinks::readCopyStates(const Incarnation &from, const json &beat)
+void FleetLinks::onCopyStates(const Incarnation &from, const json &heartbeat)
 {
-    const auto row = beat.find("copies");
-    if (row == beat.end() || !row->is_array() || !onUpdate) {
+    const auto row = heartbeat.find("copies");
+    if (row == heartbeat.end() || !row->is_array() || !onUpdate) {
         return;
     }
     for (const json &copy : *row) {
         PrefixUpdate update;
         try {
-            update.state = readState(copy);
+            update.state = decodeState(copy);
         } catch (const json::exception &) {
             return;
         }
--- a/godwit/daemon/fleet_homes.cpp
+++ b/godwit/daemon/fleet_token_transfers.cpp
@@ -24,10 +24,10 @@
 constexpr const char *HomeHostsKey = "homes";
 
 // More than any size of a request can have.
-constexpr std::size_t MostSizeClasses = 128;
+constexpr std::size_t MaxSizeClasses = 128;
 
 // [class, tokens a second, class, ...].
-json sizesRow(const std::map<SizeClass, double> &rates)
+json encodeSizes(const std::map<SizeClass, double> &rates)
 {
     json row = json::array();
     for (const auto &[sizeClass, rate] : rates) {
@@ -45,9 +45,9 @@
 }
 
 // Unset unless the row is one of sizesRow().
-std::optional<std::map<SizeClass, double>> readSizes(const json &row)
+std::optional<std::map<SizeClass, double>> decodeSizes(const json &row)
 {
-    if (!row.is_array() || row.size() % 2 != 0 || row.size() > 2 * MostSizeClasses
+    if (!row.is_array() || row.size() % 2 != 0 || row.size() > 2 * MaxSizeClasses
         || !areIntegers(row.begin(), row.end())) {
         return std::nullopt;
     }
@@ -55,7 +55,7 @@
     for (std::size_t i = 0; i < row.size(); i += 2) {
         const auto sizeClass = row[i].get<std::int64_t>();
         const auto rate = row[i + 1].get<Tokens>();
-        if (sizeClass < 0 || sizeClass >= static_cast<std::int64_t>(MostSizeClasses) || rate < 0) {
+        if (sizeClass < 0 || sizeClass >= static_cast<std::int64_t>(MaxSizeClasses) || rate < 0) {
             return std::nullopt;
         }
         rates[static_cast<SizeClass>(sizeClass)] = static_cast<double>(rate);
@@ -65,72 +65,74 @@
 
 } // namespace
 
-void FleetLinks::askForTokens(const CustomerId &customer, Tokens needed)
+void FleetLinks::requestTokens(const CustomerId &customer, Tokens needed)
 {
     const PrepaidShare &share = m_relay.state().prepaid;
     const auto account = share.accounts.find(customer);
     if (account != share.accounts.end() && account->second.isHome) {
-        askHolders(customer, needed);
+        reclaimFromHolders(customer, needed);
     } else {
-        askHome(customer, needed);
+        requestFromHome(customer, needed);
     }
 }
 
-void FleetLinks::askHome(const CustomerId &customer, Tokens needed)
+void FleetLinks::requestFromHome(const CustomerId &customer, Tokens needed)
 {
     const TimePoint now = Relay::now();
-    Peer *home = homeOf(customer, homeHosts(now));
+    Peer *home = homeOf(customer, homeRouters(now));
     if (home == nullptr) {
         return;
     }
-    OnItsWay &coming = m_onItsWay[customer];
-    if (coming.until <= now) {
-        coming.tokens = 0;
+    PendingTokens &pending = m_pendingTokens[customer];
+    if (pending.expiresAt <= now) {
+        pending.tokens = 0;
     }
-    const Tokens lacking = needed - headroom(m_relay.state().prepaid, customer) - coming.tokens;
+    const Tokens lacking = needed - headroom(m_relay.state().prepaid, customer) - pending.tokens;
     if (lacking <= 0) {
         return;
     }
-    if (coming.tokens == 0) {
-        coming.askedAt = now;
+    if (pending.tokens == 0) {
+        pending.requestedAt = now;
     }
-    coming.tokens += lacking;
-    coming.until = now + m_options.wishWaits;
+    pending.tokens += lacking;
+    pending.expiresAt = now + m_options.tokenRequestTimeout;
     if (!home->unansweredSince) {
         home->unansweredSince = now;
     }
-    const Tokens stamp = now.time_since_epoch().count();
-    m_mesh->send(home->member.incarnation, {WishTopic, toBytes(json::array({customer.value, lacking, stamp}))});
-    watchAnswers();
+    const Tokens timestamp = now.time_since_epoch().count();
+    m_mesh->send(home->member.incarnation,
+                 {TokenRequestTopic, encodeCbor(json::array({customer.value, lacking, timestamp}))});
+    armResponseTimer();
 }
 
 // Asks for the tokens of the next moment's requests: a customer whose callers keep to a host with a slow link would
 // else be refused while its home holds plenty.
-void FleetLinks::keepAhead()
+void FleetLinks::prefetchTokens()
 {
-    const Duration ahead = prefetchTime(m_exchangeTime, m_options.ahead);
+    const Duration horizon = prefetchTime(m_exchangeTime, m_options.prefetch);
     for (const auto &[customer, tokens] :
-         tokensToPrefetch(m_relay.state().prepaid, ahead, m_options.ahead, Relay::now())) {
-        askHome(customer, tokens);
+         tokensToPrefetch(m_relay.state().prepaid, horizon, m_options.prefetch, Relay::now())) {
+        requestFromHome(customer, tokens);
     }
 }
 
 // A home asks those that still hold some of the budget: homes of before, or ones that another router takes for it.
-void FleetLinks::askHolders(const CustomerId &customer, Tokens needed)
+void FleetLinks::reclaimFromHolders(const CustomerId &customer, Tokens needed)
 {
     const TimePoint now = Relay::now();
-    TimePoint &askedAt = m_askedAt[customer];
-    if (now < askedAt + m_options.askInterval) {
+    TimePoint &reclaimedAt = m_reclaimedAt[customer];
+    if (now < reclaimedAt + m_options.reclaimInterval) {
         return;
     }
-    askedAt = now;
+    reclaimedAt = now;
     Tokens lacking = needed - headroom(m_relay.state().prepaid, customer);
     auto &known = m_relay.state().prepaid.peerHoldings[customer];
     for (auto &[incarnation, peer] : m_peers) {
         const auto entry = known.find(HolderId{peer.member.callerAddress});
-        if (lacking > 0 && peer.linked && isFresh(peer, now) && entry != known.end() && entry->second.spendable > 0) {
+        if (lacking > 0 && peer.linked && isResponsive(peer, now) && entry != known.end()
+            && entry->second.spendable > 0) {
             const Tokens part = std::min(lacking, entry->second.spendable);
-            m_mesh->send(incarnation, {AskTopic, toBytes(json::array({customer.value, part, part}))});
+            m_mesh->send(incarnation, {TokenReclaimTopic, encodeCbor(json::array({customer.value, part, part}))});
             lacking -= part;
             // Its next beat puts the figure right.
             entry->second.spendable -= part;
@@ -138,56 +140,56 @@
     }
 }
 
-void FleetLinks::watchAnswers()
+void FleetLinks::armResponseTimer()
 {
-    if (std::exchange(m_watchingAnswers, true)) {
+    if (std::exchange(m_responseTimerArmed, true)) {
         return;
     }
-    m_answerTimer.expires_after(m_options.answerLimit);
-    m_answerTimer.async_wait([this](const boost::system::error_code &error) {
-        m_watchingAnswers = false;
+    m_responseTimer.expires_after(m_options.homeResponseTimeout);
+    m_responseTimer.async_wait([this](const boost::system::error_code &error) {
+        m_responseTimerArmed = false;
         if (!error) {
-            passOverSilent();
+            skipUnresponsiveHomes();
         }
     });
 }
 
 // The requests that wait for a silent home ask the next one.
-void FleetLinks::passOverSilent()
+void FleetLinks::skipUnresponsiveHomes()
 {
     const TimePoint now = Relay::now();
-    bool anyWaits = false;
-    bool anySilent = false;
+    bool anyPending = false;
+    bool anyUnresponsive = false;
     for (auto &[incarnation, peer] : m_peers) {
         if (!peer.unansweredSince) {
             continue;
         }
-        if (now < *peer.unansweredSince + m_options.answerLimit) {
-            anyWaits = true;
+        if (now < *peer.unansweredSince + m_options.homeResponseTimeout) {
+            anyPending = true;
             continue;
         }
-        anySilent = true;
+        anyUnresponsive = true;
         peer.unansweredSince.reset();
-        peer.passedOverUntil = now + m_options.passOver;
+        peer.skippedUntil = now + m_options.unresponsiveHomePeriod;
         m_relay.log().write("home_silent", {{"peer", std::string_view(incarnation.value)}});
     }
-    if (anySilent) {
-        m_onItsWay.clear();
+    if (anyUnresponsive) {
+        m_pendingTokens.clear();
         chooseHomes();
         m_relay.requestNeededTokens();
     }
-    if (anyWaits) {
-        watchAnswers();
+    if (anyPending) {
+        armResponseTimer();
     }
 }
 
 bool FleetLinks::isServing(const Peer &peer, TimePoint now) const
 {
-    return peer.linked && peer.beatHeard && peer.ready && isEntry(peer) && isFresh(peer, now)
-        && now >= peer.passedOverUntil;
+    return peer.linked && peer.heartbeatReceived && peer.ready && isAdvertised(peer) && isResponsive(peer, now)
+        && now >= peer.skippedUntil;
 }
 
-double FleetLinks::leastOfLargestKind(TimePoint now) const
+double FleetLinks::minLargestClassCapacity(TimePoint now) const
 {
     double largest = m_options.ownCapacity;
     for (const auto &[incarnation, peer] : m_peers) {
@@ -195,25 +197,25 @@
             largest = std::max(largest, peer.member.capacity);
         }
     }
-    return largest * m_options.entryHosts.sameClassRatio;
+    return largest * m_options.advertisedHosts.sameClassRatio;
 }
 
 // Few routers are homes: each writes one mark for all customers that it is home to, however many these are. Large
 // hosts, since the tokens of all requests pass through them.
-std::vector<FleetLinks::Peer *> FleetLinks::homeHosts(TimePoint now)
+std::vector<FleetLinks::Peer *> FleetLinks::homeRouters(TimePoint now)
 {
-    const double least = leastOfLargestKind(now);
+    const double minCapacity = minLargestClassCapacity(now);
     std::vector<std::pair<std::uint64_t, Peer *>> candidates;
-    if (m_relay.isReady() && isEntry() && m_options.ownCapacity >= least) {
+    if (m_relay.isReady() && isAdvertised() && m_options.ownCapacity >= minCapacity) {
         candidates.emplace_back(rendezvousWeight(HomeHostsKey, m_options.own.callerAddress), nullptr);
     }
     for (auto &[incarnation, peer] : m_peers) {
-        if (isServing(peer, now) && peer.member.capacity >= least) {
+        if (isServing(peer, now) && peer.member.capacity >= minCapacity) {
             candidates.emplace_back(rendezvousWeight(HomeHostsKey, peer.member.callerAddress), &peer);
         }
     }
     std::sort(candidates.begin(), candidates.end(), std::greater<>());
-    candidates.resize(std::min(candidates.size(), m_options.homeHosts));
+    candidates.resize(std::min(candidates.size(), m_options.homeCount));
     std::vector<Peer *> hosts;
     hosts.reserve(candidates.size());
     for (const auto &[weight, peer] : candidates) {
@@ -240,23 +242,24 @@
 // has heard of the others.
 void FleetLinks::checkSettled(TimePoint now)
 {
-    if (m_settled || !m_readyAt || now < *m_readyAt + m_options.aloneFor) {
+    if (m_settled || !m_readyAt || now < *m_readyAt + m_options.settleTime) {
         return;
     }
     std::set<std::string> listed;
-    std::set<std::string> heard;
+    std::set<std::string> responsive;
     for (const auto &[incarnation, peer] : m_peers) {
         if (peer.listed && peer.dialled) {
             listed.insert(peer.member.callerAddress);
         }
-        if (peer.beatHeard) {
-            heard.insert(peer.member.callerAddress);
+        if (peer.heartbeatReceived) {
+            responsive.insert(peer.member.callerAddress);
         }
     }
-    const Duration most = m_options.aloneFor + m_options.settlePerRouter * static_cast<Duration::rep>(listed.size());
-    constexpr double enough = 0.9;
-    m_settled =
-        static_cast<double>(heard.size()) >= enough * static_cast<double>(listed.size()) || now >= *m_readyAt + most;
+    const Duration maxSettleTime =
+        m_options.settleTime + m_options.settleTimePerRouter * static_cast<Duration::rep>(listed.size());
+    constexpr double minResponsiveFraction = 0.9;
+    m_settled = static_cast<double>(responsive.size()) >= minResponsiveFraction * static_cast<double>(listed.size())
+        || now >= *m_readyAt + maxSettleTime;
 }
 
 void FleetLinks::chooseHomes()
@@ -268,10 +271,10 @@
     checkSettled(now);
     PrepaidShare &share = m_relay.state().prepaid;
     int bounded = 0;
-    const auto hosts = homeHosts(now);
+    const auto hosts = homeRouters(now);
     for (auto &[customer, account] : share.accounts) {
         bounded += account.bounded ? 1 : 0;
-        const bool isHome = m_relay.isReady() && isEntry() && m_settled && homeOf(customer, hosts) == nullptr;
+        const bool isHome = m_relay.isReady() && isAdvertised() && m_settled && homeOf(customer, hosts) == nullptr;
         if (account.bounded && account.isHome != isHome) {
             account.isHome = isHome;
             m_relay.log().write("home", {{"customer", std::string_view(customer.value)}, {"holds", isHome}});
@@ -281,26 +284,26 @@
 }
 
 // Near the end of a budget what requests have left over would lie idle at each of the routers, and be lost with it.
-void FleetLinks::sendLeftovers()
+void FleetLinks::returnUnusedTokens()
 {
     PrepaidShare &share = m_relay.state().prepaid;
-    const auto hosts = homeHosts(Relay::now());
+    const auto hosts = homeRouters(Relay::now());
     for (const auto &[customer, account] : share.accounts) {
         Peer *home = account.bounded && !account.isHome && account.reserved == 0 ? homeOf(customer, hosts) : nullptr;
         const Tokens left = headroom(share, customer);
         if (home != nullptr && left > 0 && isNearEnd(share, customer)) {
-            send(takeUnusedTokens(share, customer, HolderId{home->member.callerAddress}));
+            sendTransfer(takeUnusedTokens(share, customer, HolderId{home->member.callerAddress}));
         }
     }
 }
 
 // What readRow() reads.
-json FleetLinks::heldRow(const CustomerId &customer) const
+json FleetLinks::encodeHolding(const CustomerId &customer) const
 {
     const auto &share = m_relay.state().prepaid;
     const TimePoint now = Relay::now();
     // Sizes matter near the end alone, and there are many customers in a beat.
-    const bool tellsSizes = isNearEnd(share, customer);
+    const bool includeSizes = isNearEnd(share, customer);
     return json::array({headroom(share, customer),
                         unusedGrant(share, customer),
                         static_cast<Tokens>(demandPerSecond(share, customer, now)),
@@ -308,15 +311,15 @@
                         maxRemaining(share, customer),
                         share.ledgerRevision,
                         m_relay.state().platformInReach ? 0 : timeUntilLimitGrows(share, customer, now).count(),
-                        tellsSizes ? sizesRow(demandBySize(share, customer, now)) : json::array()});
+                        includeSizes ? encodeSizes(demandBySize(share, customer, now)) : json::array()});
 }
 
-void FleetLinks::readRow(const CustomerId &customer, const HolderId &holder, const json &row)
+void FleetLinks::applyHolding(const CustomerId &customer, const HolderId &holder, const json &row)
 {
     if (!row.is_array() || row.size() != 8 || !areIntegers(row.begin(), row.end() - 1)) {
         return;
     }
-    const auto sizes = readSizes(row[7]);
+    const auto sizes = decodeSizes(row[7]);
     if (!sizes) {
         return;
     }
@@ -331,10 +334,10 @@
     known.demandBySize = *sizes;
 }
 
-void FleetLinks::readHeld(const json &beat, const HolderId &holder)
+void FleetLinks::applyHoldings(const json &heartbeat, const HolderId &holder)
 {
-    const auto held = beat.find("held");
-    if (held == beat.end() || !held->is_object()) {
+    const auto held = heartbeat.find("held");
+    if (held == heartbeat.end() || !held->is_object()) {
         return;
     }
     for (auto &[customer, holders] : m_relay.state().prepaid.peerHoldings) {
@@ -343,46 +346,46 @@
         }
     }
     for (const auto &[customer, row] : held->items()) {
-        readRow(CustomerId{customer}, holder, row);
+        applyHolding(CustomerId{customer}, holder, row);
     }
 }
 
-void FleetLinks::onWish(const Peer &peer, const std::string &body)
+void FleetLinks::onTokenRequest(const Peer &peer, const std::string &body)
 {
-    const auto wish = readAmounts(fromBytes(body), 2);
-    if (!wish || wish->tokens[0] <= 0) {
+    const auto amounts = decodeAmounts(decodeCbor(body), 2);
+    if (!amounts || amounts->tokens[0] <= 0) {
         return;
     }
     const TimePoint now = Relay::now();
     PrepaidShare &share = m_relay.state().prepaid;
-    noteRequest(share, wish->customer, wish->tokens[0], now);
-    TransferRequest ask;
-    ask.from = HolderId{peer.member.callerAddress};
-    ask.customer = wish->customer;
-    ask.needed = wish->tokens[0];
-    ask.deadline = now + m_options.wishWaits;
-    const auto gift = requestTransfer(share, ask);
+    noteRequest(share, amounts->customer, amounts->tokens[0], now);
+    TransferRequest request;
+    request.from = HolderId{peer.member.callerAddress};
+    request.customer = amounts->customer;
+    request.needed = amounts->tokens[0];
+    request.deadline = now + m_options.tokenRequestTimeout;
+    const auto transfer = requestTransfer(share, request);
     // Without tokens it says that the wish has arrived and has to wait.
-    send(gift.value_or(TokenTransfer{ask.from, ask.customer, 0}), wish->tokens[1]);
-    if (!gift && m_relay.onTokensNeeded) {
-        m_relay.onTokensNeeded(ask.customer, ask.needed);
+    sendTransfer(transfer.value_or(TokenTransfer{request.from, request.customer, 0}), amounts->tokens[1]);
+    if (!transfer && m_relay.onTokensNeeded) {
+        m_relay.onTokensNeeded(request.customer, request.needed);
     }
 }
 
 // A host whose link is choked hears of endpoints that leave, and reaches those that it chooses, seconds late: it would
 // send them requests that they must not get any more. Answers that are late, rather than missing, tell it from a host
 // that is cut off, which still serves what it can reach.
-void FleetLinks::noteLag(Tokens stamp)
+void FleetLinks::recordLag(Tokens timestamp)
 {
-    if (stamp == 0) {
+    if (timestamp == 0) {
         return;
     }
     const TimePoint now = Relay::now();
-    const Duration lag = now.time_since_epoch() - Duration(stamp);
+    const Duration lag = now.time_since_epoch() - Duration(timestamp);
     if (onLag) {
         onLag(lag);
     }
-    if (lag >= m_options.behindFrom) {
+    if (lag >= m_options.staleLag) {
         if (!m_relay.mayBeStale(now)) {
             m_relay.log().write("behind", {{"lag_ms", toSeconds(lag) * 1000}});
         }
@@ -390,64 +393,65 @@
     }
 }
 
-void FleetLinks::serveAsks()
+void FleetLinks::serveTransferRequests()
 {
-    for (const TokenTransfer &gift : Godwit::serveTransferRequests(m_relay.state().prepaid, Relay::now())) {
-        send(gift);
+    for (const TokenTransfer &transfer : Godwit::serveTransferRequests(m_relay.state().prepaid, Relay::now())) {
+        sendTransfer(transfer);
     }
 }
 
 // Counted as gone before it is sent: a message that is lost costs tokens, and none is ever there twice.
-void FleetLinks::send(const TokenTransfer &gift, Tokens stamp)
+void FleetLinks::sendTransfer(const TokenTransfer &transfer, Tokens timestamp)
 {
-    const auto peer = std::find_if(m_peers.begin(), m_peers.end(), [&gift](const auto &entry) {
-        return entry.second.linked && entry.second.member.callerAddress == gift.to.value;
+    const auto peer = std::find_if(m_peers.begin(), m_peers.end(), [&transfer](const auto &entry) {
+        return entry.second.linked && entry.second.member.callerAddress == transfer.to.value;
     });
-    const std::string body = toBytes(json::array({gift.customer.value, gift.amount, heldRow(gift.customer), stamp}));
-    if (peer == m_peers.end() || !m_mesh->send(peer->first, {GiveTopic, body})) {
+    const std::string body = encodeCbor(
+        json::array({transfer.customer.value, transfer.amount, encodeHolding(transfer.customer), timestamp}));
+    if (peer == m_peers.end() || !m_mesh->send(peer->first, {TokenTransferTopic, body})) {
         // It has not left this process.
-        receiveTokens(m_relay.state().prepaid, gift.customer, gift.amount);
+        receiveTokens(m_relay.state().prepaid, transfer.customer, transfer.amount);
     }
 }
 
-void FleetLinks::onAsk(const Peer &peer, const std::string &body)
+void FleetLinks::onTokenReclaim(const Peer &peer, const std::string &body)
 {
-    const auto asked = readAmounts(fromBytes(body), 2);
-    if (!asked) {
+    const auto amounts = decodeAmounts(decodeCbor(body), 2);
+    if (!amounts) {
         return;
     }
-    const TokenDemand wish{asked->tokens[1], asked->tokens[0]};
-    const Tokens amount = sendTokens(m_relay.state().prepaid, asked->customer, wish, Relay::now());
+    const TokenDemand demand{amounts->tokens[1], amounts->tokens[0]};
+    const Tokens amount = sendTokens(m_relay.state().prepaid, amounts->customer, demand, Relay::now());
     if (amount > 0) {
-        send(TokenTransfer{HolderId{peer.member.callerAddress}, asked->customer, amount});
+        sendTransfer(TokenTransfer{HolderId{peer.member.callerAddress}, amounts->customer, amount});
     }
 }
 
-void FleetLinks::onGive(Peer &peer, const std::string &body)
+void FleetLinks::onTokenTransfer(Peer &peer, const std::string &body)
 {
-    const json message = fromBytes(body);
+    const json message = decodeCbor(body);
     if (!message.is_array() || message.size() != 4 || !message[3].is_number_integer()) {
         return;
     }
-    noteLag(message[3].get<Tokens>());
-    const auto given = readAmounts(json::array({message[0], message[1]}), 1);
-    if (!given || given->tokens[0] < 0) {
+    recordLag(message[3].get<Tokens>());
+    const auto amounts = decodeAmounts(json::array({message[0], message[1]}), 1);
+    if (!amounts || amounts->tokens[0] < 0) {
         return;
     }
     peer.unansweredSince.reset();
-    readRow(given->customer, HolderId{peer.member.callerAddress}, message[2]);
-    if (given->tokens[0] == 0) {
+    applyHolding(amounts->customer, HolderId{peer.member.callerAddress}, message[2]);
+    if (amounts->tokens[0] == 0) {
         return;
     }
-    OnItsWay &coming = m_onItsWay[given->customer];
-    if (coming.tokens > 0) {
-        noteExchange(m_exchangeTime, Relay::now() - coming.askedAt);
+    PendingTokens &pending = m_pendingTokens[amounts->customer];
+    if (pending.tokens > 0) {
+        noteExchange(m_exchangeTime, Relay::now() - pending.requestedAt);
     }
-    coming.tokens = std::max<Tokens>(0, coming.tokens - given->tokens[0]);
-    receiveTokens(m_relay.state().prepaid, given->customer, given->tokens[0]);
+    pending.tokens = std::max<Tokens>(0, pending.tokens - amounts->tokens[0]);
+    receiveTokens(m_relay.state().prepaid, amounts->customer, amounts->tokens[0]);
     m_relay.log().write("tokens_received",
-                        {{"customer", std::string_view(given->customer.value)},
-                         {"amount", given->tokens[0]},
+                        {{"customer", std::string_view(amounts->customer.value)},
+                         {"amount", amounts->tokens[0]},
                          {"from", std::string_view(peer.member.incarnation.value)}});
     m_relay.retryReservations();
 }
--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -133,7 +133,7 @@
     options.own.peerAddress = self.peerAddress;
     options.own.callerAddress = self.callerAddress;
     options.ownCapacity = self.capacity;
-    options.snapshots.perSecond = SnapshotLinkPart * bytesPerSecond(settings.linkMbps);
+    options.snapshotRate.perSecond = SnapshotLinkPart * bytesPerSecond(settings.linkMbps);
     return options;
 }
 
@@ -191,17 +191,17 @@
     {
         m_relay.onTokensNeeded = [this](const CustomerId &customer, Tokens needed) {
             m_keeper.hurry();
-            m_links.askForTokens(customer, needed);
+            m_links.requestTokens(customer, needed);
         };
         m_relay.onTokensAdded = [this] {
-            m_links.serveAsks();
+            m_links.serveTransferRequests();
         };
         m_relay.onPromptSent = [this](const PromptSent &prompt, Duration reading) {
-            m_links.tellPrompt(prompt, reading);
+            m_links.announcePrompt(prompt, reading);
         };
         m_keeper.onRegained = [this] {
             for (SharedPrefix *prefix : prefixes()) {
-                prefix->askAgain();
+                prefix->reconnect();
             }
         };
         m_keeper.onLiveWritten = [this] {
@@ -210,7 +210,7 @@
                 m_liveEntries.readNow();
             }
         };
-        m_endpointEntries.onStoreReturn = [this](std::optional<TimePoint> at) {
+        m_endpointEntries.onStoreRecovery = [this](std::optional<TimePoint> at) {
             m_endpoints.onStoreReturn(at);
         };
         for (SharedPrefix *prefix : prefixes()) {
@@ -219,7 +219,7 @@
         m_links.onUpdate = [this](const Incarnation &from, const PrefixUpdate &update) {
             if (SharedPrefix *prefix = prefixNamed(update.state.prefix)) {
                 prefix->onUpdate(update, [this, from, prefix] {
-                    return m_links.askSnapshot(from, prefix->request());
+                    return m_links.requestSnapshot(from, prefix->request());
                 });
                 noteAgreement();
             }
@@ -243,19 +243,19 @@
             return states;
         };
         m_keeper.lostElsewhere = [this] {
-            return m_links.partWithoutStore();
+            return m_links.storeUnreachableFraction();
         };
         m_keeper.onFoundAgain = [this] {
-            m_links.tellStoreFound();
+            m_links.broadcastStoreReachable();
         };
         m_keeper.onLedgerWritten = [this](std::uint64_t revision, const std::string &ledger) {
-            m_links.tellLedger(revision, ledger);
+            m_links.broadcastLedger(revision, ledger);
         };
         m_suspects.tell = [this](const std::vector<SuspectNotice> &notices) {
-            m_links.tellSuspects(notices);
+            m_links.announceSuspects(notices);
         };
         m_suspects.hearsFleet = [this] {
-            return m_links.partHeard() >= LeastPartHeard;
+            return m_links.responsivePeerFraction() >= LeastPartHeard;
         };
         m_suspects.firstDeaths().writes = [this] {
             return m_links.readerRankOf(m_liveEntries.prefix()) == 0;
@@ -267,7 +267,7 @@
             recordMessageLag(m_pauses, lag, Relay::now());
             pauseIfOverloaded();
         };
-        m_links.onStoreFound = [this] {
+        m_links.onStoreReachable = [this] {
             m_keeper.onFoundElsewhere();
         };
     }
@@ -322,7 +322,7 @@
     {
         SharedPrefixOptions options;
         options.watched = false;
-        options.readings.interval = LiveReadingInterval;
+        options.readSchedule.interval = LiveReadingInterval;
         return options;
     }
 
@@ -344,25 +344,25 @@
 
     void share(SharedPrefix &prefix)
     {
-        prefix.routersSharing = [this] {
+        prefix.routerCount = [this] {
             return m_relay.state().liveRouters;
         };
         prefix.readerRank = [this, &prefix] {
             return m_links.readerRankOf(prefix.prefix());
         };
-        prefix.storeInReach = [this] {
+        prefix.storeReachable = [this] {
             return m_relay.state().platformInReach;
         };
-        prefix.onMissed = [this, &prefix] {
+        prefix.onWatchMissedChange = [this, &prefix] {
             m_log.write("watch_missed_change", {{"prefix", std::string_view(prefix.prefix())}});
         };
         prefix.onFetched = [this, &prefix](const CopyFetch &fetch) {
             logFetch(prefix.prefix(), fetch);
         };
-        prefix.askAny = [this, &prefix] {
-            return m_links.askAnySnapshot(prefix.request());
+        prefix.requestFromAnyPeer = [this, &prefix] {
+            return m_links.requestSnapshotFromAny(prefix.request());
         };
-        prefix.tell = [this](const PrefixUpdate &update) {
+        prefix.broadcastUpdate = [this](const PrefixUpdate &update) {
             m_links.sendUpdate(update);
         };
     }
@@ -370,15 +370,15 @@
     // Readings that end at once are many, and say nothing.
     void logFetch(const std::string &prefix, const CopyFetch &fetch)
     {
-        if (fetch.answered && fetch.took < SlowFetch) {
+        if (fetch.succeeded && fetch.duration < SlowFetch) {
             return;
         }
         m_log.write("copy_fetched",
                     {{"prefix", std::string_view(prefix)},
                      {"from", fetchSourceName(fetch.source)},
-                     {"answered", fetch.answered},
+                     {"answered", fetch.succeeded},
                      {"bytes", static_cast<std::int64_t>(fetch.bytes)},
-                     {"took_ms", toSeconds(fetch.took) * 1000}});
+                     {"took_ms", toSeconds(fetch.duration) * 1000}});
     }
 
     std::function<HostTime()> clock() const
@@ -530,7 +530,7 @@
         std::vector<EntryAddress> hosts = m_links.callerAddresses();
         if (m_relay.isReady()) {
             const RegionId own = regionOf(m_settings.regions, m_settings.dataCentre);
-            hosts.push_back({m_settings.callerListen, own, m_links.isEntry()});
+            hosts.push_back({m_settings.callerListen, own, m_links.isAdvertised()});
         }
         std::vector<std::string> addresses = addressesForRegions(hosts, entryRegions(question));
         std::shuffle(addresses.begin(), addresses.end(), m_random);
@@ -648,7 +648,7 @@
                     {{"requests", static_cast<std::int64_t>(m_relay.counters().requests)},
                      {"calls_open", static_cast<std::int64_t>(m_relay.callsOpen)},
                      {"attempts", static_cast<std::int64_t>(m_relay.counters().attempts)},
-                     {"entry", m_links.isEntry()},
+                     {"entry", m_links.isAdvertised()},
                      {"live_routers", static_cast<std::int64_t>(m_relay.state().liveRouters)},
                      {"store_gets", calls(StoreCallKind::Get)},
                      {"store_probes", calls(StoreCallKind::Probe)},
@@ -671,8 +671,8 @@
     void noteAgreement()
     {
         RelayState &state = m_relay.state();
-        state.endpointsAgreement = m_endpointEntries.agreement();
-        state.documentAgreement = m_documents.agreement();
+        state.endpointsAgreement = m_endpointEntries.freshness();
+        state.documentAgreement = m_documents.freshness();
         const bool outdated = m_relay.hasOutdatedCopy(Relay::now());
         if (outdated && !m_outdated) {
             m_log.write("copies_outdated",
@@ -690,9 +690,9 @@
             return;
         }
         for (SharedPrefix *prefix : {&m_documents, &m_endpointEntries}) {
-            if (isStale(prefix->agreement(), m_relay.options().agreement, now)) {
+            if (isStale(prefix->freshness(), m_relay.options().agreement, now)) {
                 m_nextConfirm = now + ConfirmInterval;
-                prefix->confirm();
+                prefix->verifyFreshness();
             }
         }
     }
@@ -736,10 +736,10 @@
             return;
         }
         if (state.endpointsAsOf < state.congestedAt) {
-            m_endpointEntries.confirm();
+            m_endpointEntries.verifyFreshness();
         }
         if (state.documentAsOf < state.congestedAt) {
-            m_documents.confirm();
+            m_documents.verifyFreshness();
         }
     }
 
@@ -752,7 +752,7 @@
         m_stopBegan = Relay::now();
         m_log.write("stop", {{"signal", static_cast<std::int64_t>(signal)}, {"calls", m_relay.callsOpen}});
         setStage(RelayStage::Leaving, "leaving");
-        m_links.beat();
+        m_links.sendHeartbeat();
         m_keeper.leave();
         stepStop();
     }
--- a/godwit/daemon/load_poller.cpp
+++ b/godwit/daemon/load_poller.cpp
@@ -56,7 +56,7 @@
             asio::spawn(
                 m_io,
                 [self = shared_from_this(), i](const asio::yield_context &yield) {
-                    self->work(static_cast<std::size_t>(i), yield);
+                    self->runWorker(static_cast<std::size_t>(i), yield);
                 },
                 asio::detached);
         }
@@ -67,7 +67,7 @@
 
 private:
     // Each worker takes every n-th endpoint, once a period.
-    void work(std::size_t index, const asio::yield_context &yield)
+    void runWorker(std::size_t index, const asio::yield_context &yield)
     {
         asio::steady_timer timer(m_io);
         std::map<std::string, beast::tcp_stream> streams;
@@ -76,16 +76,16 @@
             const auto targets = m_targets;
             for (std::size_t i = index; i < targets.size() && !m_stopped;
                  i += static_cast<std::size_t>(m_options.workers)) {
-                ask(targets[i], streams, yield);
+                poll(targets[i], streams, yield);
             }
             beast::error_code cancelled;
             timer.async_wait(yield[cancelled]);
         }
     }
 
-    void ask(const PollTarget &target,
-             std::map<std::string, beast::tcp_stream> &streams,
-             const asio::yield_context &yield)
+    void poll(const PollTarget &target,
+              std::map<std::string, beast::tcp_stream> &streams,
+              const asio::yield_context &yield)
     {
         LastReason reason;
         const auto address = parseAddress(target.address, reason);
--- a/godwit/daemon/prefix_messages.cpp
+++ b/godwit/daemon/prefix_messages.cpp
@@ -12,8 +12,8 @@
 using nlohmann::json;
 using namespace internal;
 
-constexpr std::int64_t NotAway = -1;
-constexpr std::int64_t NotKnown = -2;
+constexpr std::int64_t NoOutage = -1;
+constexpr std::int64_t OutageUnknown = -2;
 
 std::int64_t toMilliseconds(Duration time)
 {
@@ -29,7 +29,7 @@
     return rows;
 }
 
-std::vector<StoreItem> readItems(const json &rows)
+std::vector<StoreItem> decodeItems(const json &rows)
 {
     std::vector<StoreItem> items;
     items.reserve(rows.size());
@@ -57,7 +57,7 @@
     return json::array({delta.key, delta.revision, delta.value.hash, std::move(parts)});
 }
 
-ItemDelta readDelta(const json &row)
+ItemDelta decodeDelta(const json &row)
 {
     ItemDelta delta;
     delta.key = row.at(0).get<std::string>();
@@ -75,29 +75,29 @@
     return delta;
 }
 
-std::int64_t encodeReturn(const StoreReturn &storeReturn)
+std::int64_t encodeRecovery(const StoreRecovery &storeRecovery)
 {
-    if (!storeReturn.known) {
-        return NotKnown;
+    if (!storeRecovery.known) {
+        return OutageUnknown;
     }
-    return storeReturn.ago ? toMilliseconds(*storeReturn.ago) : NotAway;
+    return storeRecovery.ago ? toMilliseconds(*storeRecovery.ago) : NoOutage;
 }
 
-StoreReturn readReturn(std::int64_t told)
+StoreRecovery decodeRecovery(std::int64_t value)
 {
-    StoreReturn storeReturn;
-    storeReturn.known = told != NotKnown;
-    if (told >= 0) {
-        storeReturn.ago = std::chrono::milliseconds(told);
+    StoreRecovery storeRecovery;
+    storeRecovery.known = value != OutageUnknown;
+    if (value >= 0) {
+        storeRecovery.ago = std::chrono::milliseconds(value);
     }
-    return storeReturn;
+    return storeRecovery;
 }
 
 // `read` gets the message; what it throws means that the message is malformed.
 template<typename Message, typename Read>
 std::optional<Message> decode(const std::string &bytes, Read read)
 {
-    const json message = fromBytes(bytes);
+    const json message = decodeCbor(bytes);
     if (!message.is_array()) {
         return std::nullopt;
     }
@@ -115,7 +115,7 @@
     return json::array({state.prefix, state.completeTo, state.digest, state.newestRevision});
 }
 
-PrefixState readState(const json &row)
+PrefixState decodeState(const json &row)
 {
     return PrefixState{row.at(0).get<std::string>(),
                        row.at(1).get<std::uint64_t>(),
@@ -129,25 +129,25 @@
     for (const ItemDelta &delta : update.deltas) {
         deltas.push_back(encodeDelta(delta));
     }
-    return toBytes(json::array({encodeState(update.state),
-                                update.fromReading,
-                                update.truncated,
-                                encodeReturn(update.storeReturn),
-                                encodeItems(update.changes),
-                                std::move(deltas)}));
+    return encodeCbor(json::array({encodeState(update.state),
+                                   update.fromFullRead,
+                                   update.truncated,
+                                   encodeRecovery(update.storeRecovery),
+                                   encodeItems(update.changes),
+                                   std::move(deltas)}));
 }
 
 std::optional<PrefixUpdate> decodeUpdate(const std::string &bytes)
 {
     return decode<PrefixUpdate>(bytes, [](const json &message) {
         PrefixUpdate update;
-        update.state = readState(message.at(0));
-        update.fromReading = message.at(1).get<bool>();
+        update.state = decodeState(message.at(0));
+        update.fromFullRead = message.at(1).get<bool>();
         update.truncated = message.at(2).get<bool>();
-        update.storeReturn = readReturn(message.at(3).get<std::int64_t>());
-        update.changes = readItems(message.at(4));
+        update.storeRecovery = decodeRecovery(message.at(3).get<std::int64_t>());
+        update.changes = decodeItems(message.at(4));
         for (const json &row : message.at(5)) {
-            update.deltas.push_back(readDelta(row));
+            update.deltas.push_back(decodeDelta(row));
         }
         return update;
     });
@@ -155,25 +155,25 @@
 
 std::string encodeSnapshot(const PrefixSnapshot &snapshot)
 {
-    return toBytes(json::array({encodeState(snapshot.state),
-                                toMilliseconds(snapshot.age),
-                                snapshot.stamp,
-                                snapshot.items ? encodeItems(*snapshot.items) : json(),
-                                toMilliseconds(snapshot.newerFor),
-                                snapshot.deferred}));
+    return encodeCbor(json::array({encodeState(snapshot.state),
+                                   toMilliseconds(snapshot.age),
+                                   snapshot.timestamp,
+                                   snapshot.items ? encodeItems(*snapshot.items) : json(),
+                                   toMilliseconds(snapshot.aheadFor),
+                                   snapshot.deferred}));
 }
 
 std::optional<PrefixSnapshot> decodeSnapshot(const std::string &bytes)
 {
     return decode<PrefixSnapshot>(bytes, [](const json &message) {
         PrefixSnapshot snapshot;
-        snapshot.state = readState(message.at(0));
+        snapshot.state = decodeState(message.at(0));
         snapshot.age = std::chrono::milliseconds(message.at(1).get<std::int64_t>());
-        snapshot.stamp = message.at(2).get<std::int64_t>();
+        snapshot.timestamp = message.at(2).get<std::int64_t>();
         if (!message.at(3).is_null()) {
-            snapshot.items = readItems(message.at(3));
+            snapshot.items = decodeItems(message.at(3));
         }
-        snapshot.newerFor = std::chrono::milliseconds(message.at(4).get<std::int64_t>());
+        snapshot.aheadFor = std::chrono::milliseconds(message.at(4).get<std::int64_t>());
         // Earlier versions don't say it.
         snapshot.deferred = message.size() > 5 && message.at(5).get<bool>();
         return snapshot;
@@ -182,8 +182,8 @@
 
 std::string encodeSnapshotRequest(const SnapshotRequest &request)
 {
-    return toBytes(
-        json::array({request.prefix, request.stamp, request.digest, request.stateOnly, request.newestRevision}));
+    return encodeCbor(
+        json::array({request.prefix, request.timestamp, request.digest, request.stateOnly, request.newestRevision}));
 }
 
 std::optional<SnapshotRequest> decodeSnapshotRequest(const std::string &bytes)
--- a/godwit/daemon/prefix_messages.h
+++ b/godwit/daemon/prefix_messages.h
@@ -29,10 +29,10 @@
 
 // As a part of a message. Reading throws nlohmann::json::exception when it is malformed.
 nlohmann::json encodeState(const PrefixState &state);
-PrefixState readState(const nlohmann::json &row);
+PrefixState decodeState(const nlohmann::json &row);
 
 // Whether the store was away lately: entries on leases may lapse meanwhile, and come back after its return.
-struct StoreReturn
+struct StoreRecovery
 {
     bool known = false; // A router that has just come, or was cut off itself, can't say.
     std::optional<Duration> ago; // Unset: it was not away.
@@ -49,9 +49,9 @@
 struct PrefixUpdate
 {
     PrefixState state; // Of the sender's copy, these changes applied.
-    bool fromReading = false; // The sender has just read everything under the prefix.
+    bool fromFullRead = false; // The sender has just read everything under the prefix.
     bool truncated = false; // Some changes are too large to be told.
-    StoreReturn storeReturn;
+    StoreRecovery storeRecovery;
     std::vector<StoreItem> changes;
     std::vector<ItemDelta> deltas;
 };
@@ -61,8 +61,8 @@
     PrefixState state;
     Duration age{}; // Since the sender last heard of a reading.
     // For how long the sender has held changes that the asker's copy lacks.
-    Duration newerFor{};
-    std::int64_t stamp = 0; // Of the request that is answered.
+    Duration aheadFor{};
+    std::int64_t timestamp = 0; // Of the request that is answered.
     std::optional<std::vector<StoreItem>> items; // Unset: the asker has them, or wanted none.
     bool deferred = false; // The sender has no room on its link for the items that were asked for.
 };
@@ -70,7 +70,7 @@
 struct SnapshotRequest
 {
     std::string prefix;
-    std::int64_t stamp = 0; // The asker's clock, set as it is sent; comes back with the answer.
+    std::int64_t timestamp = 0; // The asker's clock, set as it is sent; comes back with the answer.
     std::uint64_t digest = 0; // Of the asker's copy.
     bool stateOnly = false; // No items are wanted, whether the copies differ or not.
     std::uint64_t newestRevision = 0; // Of the asker's copy.
--- a/godwit/daemon/shared_prefix.cpp
+++ b/godwit/daemon/shared_prefix.cpp
@@ -26,10 +26,10 @@
 }
 
 // From 0 to 1.
-double drawLot()
+double randomFraction()
 {
-    static std::minstd_rand lots{std::random_device{}()};
-    return std::uniform_real_distribution<double>(0, 1)(lots);
+    static std::minstd_rand generator{std::random_device{}()};
+    return std::uniform_real_distribution<double>(0, 1)(generator);
 }
 
 } // namespace
@@ -43,17 +43,17 @@
                            StoreClient &store,
                            std::string prefix,
                            SharedPrefixOptions options,
-                           std::function<void(const Items &)> changed,
-                           std::function<void(bool)> reached)
+                           std::function<void(const Items &)> onCopyChanged,
+                           std::function<void(bool)> onStoreResult)
     : m_timer(io)
-    , m_readingTimer(io)
-    , m_renewTimer(io)
+    , m_readTimer(io)
+    , m_catchUpTimer(io)
     , m_store(store)
     , m_prefix(std::move(prefix))
     , m_options(options)
-    , m_changed(std::move(changed))
-    , m_reached(std::move(reached))
-    , m_snapshotWait(options.largeSnapshotTakes)
+    , m_onCopyChanged(std::move(onCopyChanged))
+    , m_onStoreResult(std::move(onStoreResult))
+    , m_snapshotTimeout(options.largeSnapshotTimeout)
 {
 }
 
@@ -61,106 +61,106 @@
 {
     m_started = true;
     readAll();
-    armReading();
+    scheduleRead();
 }
 
-void SharedPrefix::startLater()
+void SharedPrefix::startDeferred()
 {
-    armReading();
+    scheduleRead();
 }
 
-bool SharedPrefix::inReach() const
+bool SharedPrefix::isStoreReachable() const
 {
-    return !storeInReach || storeInReach();
+    return !storeReachable || storeReachable();
 }
 
 std::optional<int> SharedPrefix::rank() const
 {
-    if (!inReach()) {
+    if (!isStoreReachable()) {
         return std::nullopt;
     }
     return readerRank ? readerRank() : 0;
 }
 
-void SharedPrefix::armReading()
+void SharedPrefix::scheduleRead()
 {
     // The readers alone take turns as long as there are any.
     const bool standby = !rank();
-    const int routers = routersSharing ? routersSharing() : 1;
-    const int sharing = standby ? routers : std::min(routers, m_options.readings.readers);
-    m_readingTimer.expires_at(nextReadTime(m_options.readings, Relay::now(), sharing, drawLot(), standby));
-    m_readingTimer.async_wait([this](const boost::system::error_code &error) {
+    const int routers = routerCount ? routerCount() : 1;
+    const int sharing = standby ? routers : std::min(routers, m_options.readSchedule.readers);
+    m_readTimer.expires_at(nextReadTime(m_options.readSchedule, Relay::now(), sharing, randomFraction(), standby));
+    m_readTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            readInTurn();
+            readOnSchedule();
         }
     });
 }
 
-void SharedPrefix::readInTurn()
+void SharedPrefix::readOnSchedule()
 {
-    if (inReach() && m_copy.complete) {
+    if (isStoreReachable() && m_copy.complete) {
         read(true);
-    } else if (inReach() && !m_readingAll) {
+    } else if (isStoreReachable() && !m_initialReadOpen) {
         readAll();
     }
-    armReading();
+    scheduleRead();
 }
 
 void SharedPrefix::readNow()
 {
     if (m_copy.complete) {
         read(false);
-    } else if (!m_readingAll) {
+    } else if (!m_initialReadOpen) {
         readAll();
     }
 }
 
 // Two readings of a large copy would share this host's link, and make each other late.
-void SharedPrefix::read(bool inTurn)
+void SharedPrefix::read(bool scheduled)
 {
-    if (m_readingsOpen > 0 && isLarge()) {
-        m_readAgain = m_readAgain || !inTurn;
+    if (m_openReads > 0 && isLarge()) {
+        m_rereadPending = m_rereadPending || !scheduled;
         return;
     }
-    ++m_readingsOpen;
-    m_store.range(m_prefix, [this, inTurn, began = Relay::now()](const StoreItemsReply &reply) {
-        --m_readingsOpen;
-        noteFetch(reply, began);
-        m_reached(reply.status == StoreStatus::Ok);
+    ++m_openReads;
+    m_store.range(m_prefix, [this, scheduled, began = Relay::now()](const StoreItemsReply &reply) {
+        --m_openReads;
+        reportFetch(reply, began);
+        m_onStoreResult(reply.status == StoreStatus::Ok);
         if (reply.status == StoreStatus::Ok) {
-            onRead(reply, began, inTurn);
+            onRead(reply, began, scheduled);
         }
-        const bool again = m_readingsOpen == 0 && std::exchange(m_readAgain, false);
-        if (again && inReach() && lacks(m_wanted)) {
+        const bool reread = m_openReads == 0 && std::exchange(m_rereadPending, false);
+        if (reread && isStoreReachable() && isBehind(m_catchUpTarget)) {
             read(false);
         }
     });
 }
 
-void SharedPrefix::noteFetch(const StoreItemsReply &reply, TimePoint began) const
+void SharedPrefix::reportFetch(const StoreItemsReply &reply, TimePoint began) const
 {
     if (onFetched) {
         onFetched({FetchSource::Store, reply.status == StoreStatus::Ok, bytesOf(reply.items), Relay::now() - began});
     }
 }
 
-void SharedPrefix::onRead(const StoreItemsReply &reply, TimePoint began, bool inTurn)
+void SharedPrefix::onRead(const StoreItemsReply &reply, TimePoint began, bool scheduled)
 {
     // Calls go over several connections, and their answers overtake each other.
     if (reply.revision < m_copy.completeTo) {
         return;
     }
-    noteOwnReading(began);
-    const auto before = valuesBefore(reply.items);
+    recordOwnRead(began);
+    const auto replaced = replacedValues(reply.items);
     const auto changes = applySnapshot(m_copy, reply.items, reply.revision);
     if (!changes.empty()) {
         onChanged(changes);
     }
-    if (!changes.empty() && m_following && onMissed) {
-        onMissed();
+    if (!changes.empty() && m_watching && onWatchMissedChange) {
+        onWatchMissedChange();
     }
-    if (inTurn) {
-        tellOthers(changes, before, true);
+    if (scheduled) {
+        broadcastChanges(changes, replaced, true);
     }
 }
 
@@ -169,126 +169,127 @@
     for (const StoreItem &change : changes) {
         noteChange(m_changeTimes, change.revision, Relay::now());
     }
-    m_changed(m_copy.items);
+    m_onCopyChanged(m_copy.items);
 }
 
-void SharedPrefix::noteOwnReading(TimePoint began)
+void SharedPrefix::recordOwnRead(TimePoint began)
 {
     m_asOf = std::max(m_asOf, began);
-    Godwit::recordFullRead(m_agreement, began);
-    if (!m_readAt) {
+    Godwit::recordFullRead(m_freshness, began);
+    if (!m_lastReadAt) {
         m_firstReadAt = Relay::now();
     }
-    noteReading(StoreReturn{});
+    recordRead(StoreRecovery{});
 }
 
 // A router that heard of readings all the while knows best. One that did not takes its silence for a loss of the store
 // until such a router says otherwise: after a cut of its own, or with its link full, it would keep endpoints that left.
-void SharedPrefix::noteReading(const StoreReturn &told)
+void SharedPrefix::recordRead(const StoreRecovery &reported)
 {
     const TimePoint now = Relay::now();
-    const bool wasSilent = m_readAt && now >= *m_readAt + m_options.shortestLapse;
-    m_readAt = now;
-    if (m_returnedAt && now >= *m_returnedAt + m_options.newcomerFor) {
-        m_returnedAt.reset();
-        m_returnGuessed = false;
+    const bool hadGap = m_lastReadAt && now >= *m_lastReadAt + m_options.minOutageGap;
+    m_lastReadAt = now;
+    if (m_storeRecoveredAt && now >= *m_storeRecoveredAt + m_options.newcomerPeriod) {
+        m_storeRecoveredAt.reset();
+        m_recoveryInferred = false;
     }
-    if (told.known && (wasSilent || m_returnGuessed)) {
-        m_returnGuessed = false;
-        m_returnedAt = told.ago ? std::optional(now - *told.ago) : std::nullopt;
-    } else if (wasSilent) {
-        m_returnGuessed = true;
-        m_returnedAt = now;
+    if (reported.known && (hadGap || m_recoveryInferred)) {
+        m_recoveryInferred = false;
+        m_storeRecoveredAt = reported.ago ? std::optional(now - *reported.ago) : std::nullopt;
+    } else if (hadGap) {
+        m_recoveryInferred = true;
+        m_storeRecoveredAt = now;
     }
-    if (onStoreReturn) {
-        onStoreReturn(m_returnedAt);
+    if (onStoreRecovery) {
+        onStoreRecovery(m_storeRecoveredAt);
     }
 }
 
-StoreReturn SharedPrefix::storeReturn() const
+StoreRecovery SharedPrefix::storeRecovery() const
 {
     const TimePoint now = Relay::now();
-    StoreReturn storeReturn;
-    storeReturn.known = !m_returnGuessed && now >= m_firstReadAt + m_options.newcomerFor;
-    if (m_returnedAt) {
-        storeReturn.ago = now - *m_returnedAt;
+    StoreRecovery storeRecovery;
+    storeRecovery.known = !m_recoveryInferred && now >= m_firstReadAt + m_options.newcomerPeriod;
+    if (m_storeRecoveredAt) {
+        storeRecovery.ago = now - *m_storeRecoveredAt;
     }
-    return storeReturn;
+    return storeRecovery;
 }
 
-std::map<std::string, std::string> SharedPrefix::valuesBefore(const std::vector<StoreItem> &items) const
+std::map<std::string, std::string> SharedPrefix::replacedValues(const std::vector<StoreItem> &items) const
 {
     std::map<std::string, std::string> values;
     for (const StoreItem &item : items) {
-        const auto held = m_copy.items.find(item.key);
-        const bool changes = held != m_copy.items.end() && held->second.revision != item.revision;
-        if (changes && held->second.value.size() >= m_options.deltaFrom) {
-            values[item.key] = held->second.value;
+        const auto stored = m_copy.items.find(item.key);
+        const bool changes = stored != m_copy.items.end() && stored->second.revision != item.revision;
+        if (changes && stored->second.value.size() >= m_options.minDeltaValueBytes) {
+            values[item.key] = stored->second.value;
         }
     }
     return values;
 }
 
-void SharedPrefix::tellOthers(const std::vector<StoreItem> &changes,
-                              const std::map<std::string, std::string> &before,
-                              bool fromReading)
+void SharedPrefix::broadcastChanges(const std::vector<StoreItem> &changes,
+                                    const std::map<std::string, std::string> &replaced,
+                                    bool fromFullRead)
 {
-    if (!tell) {
+    if (!broadcastUpdate) {
         return;
     }
     PrefixUpdate update;
     update.state = state();
-    update.fromReading = fromReading;
-    update.storeReturn = storeReturn();
+    update.fromFullRead = fromFullRead;
+    update.storeRecovery = storeRecovery();
     const bool isReader = rank().has_value();
     for (const StoreItem &change : changes) {
-        const auto base = change.removed ? before.end() : before.find(change.key);
-        if (base != before.end()) {
+        const auto base = change.removed ? replaced.end() : replaced.find(change.key);
+        if (base != replaced.end()) {
             ItemDelta delta{change.key, change.revision, makeValueDelta(base->second, change.value)};
-            const std::size_t longest = isReader ? m_options.longestToldDelta : m_options.longestToldValue;
-            if (encodedSize(delta.value) < std::min(change.value.size() / 2, longest)) {
+            const std::size_t maxBytes = isReader ? m_options.maxSentDeltaBytes : m_options.maxSentValueBytes;
+            if (encodedSize(delta.value) < std::min(change.value.size() / 2, maxBytes)) {
                 update.deltas.push_back(std::move(delta));
                 continue;
             }
         }
         // Where a fleet starts at once all find a large value by themselves, and a small host's link carries no copies
         // for all others.
-        const std::size_t longest = isReader ? m_options.longestToldValue : m_options.deltaFrom;
-        if (change.value.size() <= longest) {
+        const std::size_t maxBytes = isReader ? m_options.maxSentValueBytes : m_options.minDeltaValueBytes;
+        if (change.value.size() <= maxBytes) {
             update.changes.push_back(change);
         } else {
             update.truncated = true;
         }
     }
-    tell(update);
+    broadcastUpdate(update);
 }
 
-void SharedPrefix::onUpdate(const PrefixUpdate &update, const Ask &askSender)
+void SharedPrefix::onUpdate(const PrefixUpdate &update, const SnapshotRequester &requestFromSender)
 {
-    if (update.fromReading) {
-        armReading();
-        noteReading(update.storeReturn);
+    if (update.fromFullRead) {
+        scheduleRead();
+        recordRead(update.storeRecovery);
     }
     std::vector<StoreItem> changes = update.changes;
-    const bool lacksBase = !applyDeltas(update.deltas, changes);
+    const bool missingBase = !applyDeltas(update.deltas, changes);
     const auto delta = applyDelta(m_copy, changes);
     if (!delta.empty() && m_copy.complete) {
         onChanged(delta);
     }
     if (m_copy.complete && digestOf(m_copy) == update.state.digest) {
         markComplete(m_copy, update.state.completeTo);
-        if (update.fromReading) {
-            recordMatchingPeerRead(m_agreement, Relay::now());
+        if (update.fromFullRead) {
+            recordMatchingPeerRead(m_freshness, Relay::now());
         }
         return;
     }
-    if (update.truncated && inReach()) {
-        renew(update.state, std::chrono::duration_cast<Duration>(m_options.readSpread * drawLot()), nullptr);
+    if (update.truncated && isStoreReachable()) {
+        scheduleCatchUp(
+            update.state, std::chrono::duration_cast<Duration>(m_options.readSpread * randomFraction()), nullptr);
     } else if (!m_copy.complete) {
-        renew(update.state, Duration::zero(), askSender);
-    } else if (lacks(update.state) || update.truncated) {
-        const bool tellsWhatIsNew = update.fromReading || update.truncated || lacksBase;
-        renew(update.state, tellsWhatIsNew ? m_options.missedAfter : m_options.lateAfter, askSender);
+        scheduleCatchUp(update.state, Duration::zero(), requestFromSender);
+    } else if (isBehind(update.state) || update.truncated) {
+        const bool knownGap = update.fromFullRead || update.truncated || missingBase;
+        scheduleCatchUp(update.state, knownGap ? m_options.reorderDelay : m_options.catchUpDelay, requestFromSender);
     }
 }
 
@@ -296,11 +297,11 @@
 {
     bool applied = true;
     for (const ItemDelta &delta : deltas) {
-        const auto held = m_copy.items.find(delta.key);
-        if (held == m_copy.items.end()) {
+        const auto stored = m_copy.items.find(delta.key);
+        if (stored == m_copy.items.end()) {
             applied = false;
-        } else if (held->second.revision < delta.revision) {
-            if (auto value = applyValueDelta(held->second.value, delta.value)) {
+        } else if (stored->second.revision < delta.revision) {
+            if (auto value = applyValueDelta(stored->second.value, delta.value)) {
                 changes.push_back({delta.key, std::move(*value), delta.revision, false});
             } else {
                 applied = false;
@@ -311,74 +312,74 @@
 }
 
 // Where changes come faster than readings a copy differs from each reading, and lacks nothing.
-bool SharedPrefix::lacks(const PrefixState &elsewhere) const
+bool SharedPrefix::isBehind(const PrefixState &remote) const
 {
-    if (digestOf(m_copy) == elsewhere.digest) {
+    if (digestOf(m_copy) == remote.digest) {
         return false;
     }
-    return elsewhere.newestRevision > newestRevision(m_copy)
-        || (elsewhere.completeTo > m_copy.completeTo && !hasNewerThan(m_copy, elsewhere.completeTo));
+    return remote.newestRevision > newestRevision(m_copy)
+        || (remote.completeTo > m_copy.completeTo && !hasNewerThan(m_copy, remote.completeTo));
 }
 
 // Catches up with a copy that holds more: from a peer if `ask` is set, and if that brings nothing from the store. Out
 // of its reach other peers are asked, which may have it by then.
-void SharedPrefix::renew(const PrefixState &elsewhere, Duration after, const Ask &ask)
+void SharedPrefix::scheduleCatchUp(const PrefixState &remote, Duration after, const SnapshotRequester &requester)
 {
     const TimePoint due = Relay::now() + after;
-    if (!m_renewDue || elsewhere.newestRevision > m_wanted.newestRevision) {
-        m_wanted = elsewhere;
+    if (!m_catchUpDue || remote.newestRevision > m_catchUpTarget.newestRevision) {
+        m_catchUpTarget = remote;
     }
     // A change that has to be fetched at once must not wait for one that may still be on its way.
-    if (m_renewDue && *m_renewDue <= due) {
+    if (m_catchUpDue && *m_catchUpDue <= due) {
         return;
     }
-    m_renewDue = due;
-    m_renewTimer.expires_at(due);
-    m_renewTimer.async_wait([this, ask, due, after](const boost::system::error_code &error) {
-        if (error || m_renewDue != due) {
+    m_catchUpDue = due;
+    m_catchUpTimer.expires_at(due);
+    m_catchUpTimer.async_wait([this, requester, due, after](const boost::system::error_code &error) {
+        if (error || m_catchUpDue != due) {
             return;
         }
-        m_renewDue.reset();
-        const PrefixState elsewhere = m_wanted;
-        if (m_copy.complete && !lacks(elsewhere)) {
+        m_catchUpDue.reset();
+        const PrefixState remote = m_catchUpTarget;
+        if (m_copy.complete && !isBehind(remote)) {
             return;
         }
-        if (!(isLarge() && inReach()) && askPeer(ask)) {
-            renew(elsewhere, m_options.snapshotLimit, nullptr);
-        } else if (inReach()) {
+        if (!(isLarge() && isStoreReachable()) && requestSnapshot(requester)) {
+            scheduleCatchUp(remote, m_options.snapshotTimeout, nullptr);
+        } else if (isStoreReachable()) {
             readNow();
-        } else if (const Duration next = 2 * std::max(after, m_options.snapshotLimit);
-                   next <= m_options.longestRetry && askPeer(askAny)) {
-            renew(elsewhere, next, nullptr);
+        } else if (const Duration next = 2 * std::max(after, m_options.snapshotTimeout);
+                   next <= m_options.maxRetryDelay && requestSnapshot(requestFromAnyPeer)) {
+            scheduleCatchUp(remote, next, nullptr);
         }
     });
 }
 
-void SharedPrefix::confirm()
+void SharedPrefix::verifyFreshness()
 {
-    if ((isLarge() && inReach()) || !askPeer(askAny)) {
+    if ((isLarge() && isStoreReachable()) || !requestSnapshot(requestFromAnyPeer)) {
         readNow();
     }
 }
 
 // One large snapshot at a time, like readings; what a copy that is not complete yet lacks may be large.
-bool SharedPrefix::askPeer(const Ask &ask)
+bool SharedPrefix::requestSnapshot(const SnapshotRequester &requester)
 {
-    if (!ask) {
+    if (!requester) {
         return false;
     }
     const TimePoint now = Relay::now();
     if (m_copy.complete && !isLarge()) {
-        return ask();
+        return requester();
     }
-    if (now < m_snapshotDue) {
+    if (now < m_snapshotDeadline) {
         return true;
     }
-    if (!ask()) {
+    if (!requester()) {
         return false;
     }
-    m_snapshotDue = now + m_snapshotWait;
-    m_snapshotWait = std::min(2 * m_snapshotWait, m_options.longestSnapshotWait);
+    m_snapshotDeadline = now + m_snapshotTimeout;
+    m_snapshotTimeout = std::min(2 * m_snapshotTimeout, m_options.maxLargeSnapshotTimeout);
     return true;
 }
 
@@ -389,45 +390,45 @@
     for (const auto &[key, item] : m_copy.items) {
         bytes += item.value.size();
     }
-    return bytes > m_options.longestToldValue;
+    return bytes > m_options.maxSentValueBytes;
 }
 
 void SharedPrefix::onSnapshot(const PrefixSnapshot &snapshot)
 {
-    const bool same = !snapshot.items && digestOf(m_copy) == snapshot.state.digest;
+    const bool matches = !snapshot.items && digestOf(m_copy) == snapshot.state.digest;
     if (snapshot.items || snapshot.deferred) {
-        m_snapshotDue = {};
-        m_snapshotWait = m_options.largeSnapshotTakes;
+        m_snapshotDeadline = {};
+        m_snapshotTimeout = m_options.largeSnapshotTimeout;
     }
     if (snapshot.items) {
         if (onFetched) {
-            const TimePoint asked{Duration(snapshot.stamp)};
-            onFetched({FetchSource::Peer, true, bytesOf(*snapshot.items), Relay::now() - asked});
+            const TimePoint requestedAt{Duration(snapshot.timestamp)};
+            onFetched({FetchSource::Peer, true, bytesOf(*snapshot.items), Relay::now() - requestedAt});
         }
         const bool first = !m_copy.complete;
         const auto changes = applySnapshot(m_copy, *snapshot.items, snapshot.state.completeTo);
         if (first || !changes.empty()) {
             onChanged(changes);
         }
-    } else if (same) {
+    } else if (matches) {
         markComplete(m_copy, snapshot.state.completeTo);
     }
-    noteAgreement(snapshot);
-    if (snapshot.items || same) {
-        m_asOf = std::max(m_asOf, TimePoint(Duration(snapshot.stamp)) - snapshot.age);
+    recordPeerFreshness(snapshot);
+    if (snapshot.items || matches) {
+        m_asOf = std::max(m_asOf, TimePoint(Duration(snapshot.timestamp)) - snapshot.age);
     }
 }
 
 // What came while the answer was on its way counts as held.
-void SharedPrefix::noteAgreement(const PrefixSnapshot &snapshot)
+void SharedPrefix::recordPeerFreshness(const PrefixSnapshot &snapshot)
 {
-    const TimePoint asked{Duration(snapshot.stamp)};
-    const std::uint64_t held = newestRevision(m_copy);
-    if (held < snapshot.state.newestRevision && snapshot.newerFor > Duration::zero()) {
-        m_lackingTo = std::max(m_lackingTo, snapshot.state.newestRevision);
-        recordPeerState(m_agreement, asked, snapshot.newerFor, Relay::now());
-    } else if (m_copy.complete && held >= m_lackingTo) {
-        recordPeerState(m_agreement, asked, Duration::zero(), Relay::now());
+    const TimePoint requestedAt{Duration(snapshot.timestamp)};
+    const std::uint64_t stored = newestRevision(m_copy);
+    if (stored < snapshot.state.newestRevision && snapshot.aheadFor > Duration::zero()) {
+        m_missingRevision = std::max(m_missingRevision, snapshot.state.newestRevision);
+        recordPeerState(m_freshness, requestedAt, snapshot.aheadFor, Relay::now());
+    } else if (m_copy.complete && stored >= m_missingRevision) {
+        recordPeerState(m_freshness, requestedAt, Duration::zero(), Relay::now());
     }
 }
 
@@ -439,8 +440,8 @@
     PrefixSnapshot snapshot;
     snapshot.state = state();
     // While the store is away from here too, there is nothing newer to have.
-    snapshot.age = inReach() && m_readAt ? Relay::now() - *m_readAt : Duration::zero();
-    snapshot.newerFor = timeAheadOf(m_changeTimes, request.newestRevision, Relay::now());
+    snapshot.age = isStoreReachable() && m_lastReadAt ? Relay::now() - *m_lastReadAt : Duration::zero();
+    snapshot.aheadFor = timeAheadOf(m_changeTimes, request.newestRevision, Relay::now());
     if (!request.stateOnly && request.digest != snapshot.state.digest) {
         snapshot.items = itemsOf(m_copy);
     }
@@ -460,109 +461,113 @@
 void SharedPrefix::checkRole()
 {
     const bool watches = m_options.watched && m_copy.complete && rank();
-    if (watches == m_following) {
+    if (watches == m_watching) {
         return;
     }
-    m_following = watches;
-    ++m_round;
+    m_watching = watches;
+    ++m_generation;
     m_timer.cancel();
     m_store.cancelWatch(m_prefix);
     if (watches) {
-        m_watchedTo = m_copy.completeTo;
-        follow();
+        m_watchedRevision = m_copy.completeTo;
+        openWatch();
     }
 }
 
-void SharedPrefix::askAgain()
+void SharedPrefix::reconnect()
 {
     if (m_copy.complete) {
-        ++m_round;
+        ++m_generation;
         m_timer.cancel();
         m_store.cancelWatch(m_prefix);
-        m_following = false;
+        m_watching = false;
         // By then the others have said that they reach it too.
-        later(m_options.gather, [this] {
+        runAfter(m_options.coalesceDelay, [this] {
             checkRole();
         });
-    } else if (m_started && !m_readingAll) {
+    } else if (m_started && !m_initialReadOpen) {
         readAll();
     }
 }
 
 void SharedPrefix::readAll()
 {
-    m_readingAll = true;
-    m_store.range(m_prefix, [this, round = ++m_round, began = Relay::now()](const StoreItemsReply &reply) {
-        if (round != m_round) {
+    m_initialReadOpen = true;
+    m_store.range(m_prefix, [this, generation = ++m_generation, began = Relay::now()](const StoreItemsReply &reply) {
+        if (generation != m_generation) {
             return;
         }
-        noteFetch(reply, began);
-        m_reached(reply.status == StoreStatus::Ok);
-        m_readingAll = false;
+        reportFetch(reply, began);
+        m_onStoreResult(reply.status == StoreStatus::Ok);
+        m_initialReadOpen = false;
         if (reply.status != StoreStatus::Ok) {
-            later(m_options.retry, [this] {
+            runAfter(m_options.retryInterval, [this] {
                 readAll();
             });
             return;
         }
-        noteOwnReading(began);
+        recordOwnRead(began);
         onChanged(applySnapshot(m_copy, reply.items, reply.revision));
     });
 }
 
-void SharedPrefix::follow()
+void SharedPrefix::openWatch()
 {
-    m_store.watch(m_prefix, m_watchedTo, m_options.wait, [this, round = ++m_round](const StoreItemsReply &reply) {
-        if (round == m_round) {
-            onWatched(reply);
-        }
-    });
+    m_store.watch(m_prefix,
+                  m_watchedRevision,
+                  m_options.watchTimeout,
+                  [this, generation = ++m_generation](const StoreItemsReply &reply) {
+                      if (generation == m_generation) {
+                          onWatchReply(reply);
+                      }
+                  });
 }
 
-void SharedPrefix::onWatched(const StoreItemsReply &reply)
+void SharedPrefix::onWatchReply(const StoreItemsReply &reply)
 {
-    m_reached(reply.status == StoreStatus::Ok || reply.status == StoreStatus::HistoryCompacted);
+    m_onStoreResult(reply.status == StoreStatus::Ok || reply.status == StoreStatus::HistoryCompacted);
     if (reply.status != StoreStatus::Ok) {
-        const bool gone = reply.status == StoreStatus::HistoryCompacted;
-        if (gone) {
+        const bool compacted = reply.status == StoreStatus::HistoryCompacted;
+        if (compacted) {
             read(true);
         }
-        m_following = false;
-        later(gone ? m_options.gather : m_options.retry, [this] {
+        m_watching = false;
+        runAfter(compacted ? m_options.coalesceDelay : m_options.retryInterval, [this] {
             checkRole();
         });
         return;
     }
-    m_watchedTo = std::max(m_watchedTo, reply.revision);
+    m_watchedRevision = std::max(m_watchedRevision, reply.revision);
     if (reply.items.empty()) {
-        follow();
+        openWatch();
         return;
     }
-    const bool isLong = bytesOf(reply.items) > m_options.longestToldValue;
-    later((isLong ? m_options.largeReaderDelay : m_options.readerDelay) * rank().value_or(0), [this, reply] {
-        takeWatched(reply);
-    });
+    const bool largeChange = bytesOf(reply.items) > m_options.maxSentValueBytes;
+    runAfter((largeChange ? m_options.largeReaderRankDelay : m_options.readerRankDelay) * rank().value_or(0),
+             [this, reply] {
+                 applyWatched(reply);
+             });
 }
 
-void SharedPrefix::takeWatched(const StoreItemsReply &reply)
+void SharedPrefix::applyWatched(const StoreItemsReply &reply)
 {
-    const auto before = valuesBefore(reply.items);
+    const auto replaced = replacedValues(reply.items);
     const auto delta = applyDelta(m_copy, reply.items);
     if (!delta.empty()) {
         onChanged(delta);
-        tellOthers(delta, before, false);
+        broadcastChanges(delta, replaced, false);
     }
-    const int routers = routersSharing ? routersSharing() : 1;
-    later(std::max(m_options.gather, m_options.gatherPerRouter * routers), [this] {
-        follow();
+    const int routers = routerCount ? routerCount() : 1;
+    runAfter(std::max(m_options.coalesceDelay, m_options.coalesceDelayPerRouter * routers), [this] {
+        openWatch();
     });
 }
 
-void SharedPrefix::later(Duration pause, const std::function<void()> &step)
+void SharedPrefix::runAfter(Duration pause, const std::function<void()> &step)
 {
     m_timer.expires_after(pause);
-    m_timer.async_wait([this, step, round = m_round](const boost::system::error_code &error) {
-        if (!error && round == m_round) {
+    m_timer.async_wait([this, step, generation = m_generation](const boost::system::error_code &error) {
+        if (!error && generation == m_generation) {
             step();
         }
     });
--- a/godwit/daemon/tls_contexts.cpp
+++ b/godwit/daemon/tls_contexts.cpp
@@ -12,23 +12,23 @@
 {
 }
 
-CertificateFiles::Stamp CertificateFiles::newest() const
+CertificateFiles::FileTime CertificateFiles::lastModified() const
 {
     // A default stamp is no lower bound: the file clock's epoch lies in the future.
-    Stamp stamp = Stamp::min();
+    FileTime latest = FileTime::min();
     for (const auto &file : {m_settings.certificate, m_settings.key, m_settings.ca}) {
         std::error_code error;
-        const auto time = file.empty() ? Stamp::min() : std::filesystem::last_write_time(file, error);
+        const auto time = file.empty() ? FileTime::min() : std::filesystem::last_write_time(file, error);
         if (!error) {
-            stamp = std::max(stamp, time);
+            latest = std::max(latest, time);
         }
     }
-    return stamp;
+    return latest;
 }
 
 std::shared_ptr<ssl::context> CertificateFiles::load(LastReason &reason)
 {
-    m_loaded = newest();
+    m_loadedTime = lastModified();
     auto context = std::make_shared<ssl::context>(ssl::context::tls_server);
     boost::system::error_code error;
     context->set_options(ssl::context::default_workarounds | ssl::context::no_tlsv1 | ssl::context::no_tlsv1_1, error);
@@ -56,7 +56,7 @@
 
 bool CertificateFiles::changed() const
 {
-    return enabled() && newest() != m_loaded;
+    return enabled() && lastModified() != m_loadedTime;
 }
 
 } // namespace Godwit
--- a/godwit/daemon/tls_contexts.h
+++ b/godwit/daemon/tls_contexts.h
@@ -37,12 +37,12 @@
     bool changed() const;
 
 private:
-    using Stamp = std::filesystem::file_time_type;
+    using FileTime = std::filesystem::file_time_type;
 
-    Stamp newest() const;
+    FileTime lastModified() const;
 
     TlsSettings m_settings;
-    Stamp m_loaded{};
+    FileTime m_loadedTime{};
 };
 
 } // namespace Godwit
