--- a/godwit/daemon/prefix_messages.cpp
+++ b/godwit/daemon/prefix_messages.cpp
@@ -42,7 +42,7 @@
     return items;
 }
 
-// In one row: for a part of the base its two numbers, for new bytes a string.
+// Parts in one flat array: offset and length for a range of the base, a string for new bytes.
 json encodeDelta(const ItemDelta &delta)
 {
     json parts = json::array();
@@ -93,7 +93,7 @@
     return storeRecovery;
 }
 
-// `read` gets the message; what it throws means that the message is malformed.
+// Calls `read` with the parsed message; an exception from it means that the message is malformed.
 template<typename Message, typename Read>
 std::optional<Message> decode(const std::string &bytes, Read read)
 {
@@ -174,7 +174,7 @@
             snapshot.items = decodeItems(message.at(3));
         }
         snapshot.aheadFor = std::chrono::milliseconds(message.at(4).get<std::int64_t>());
-        // Earlier versions don't say it.
+        // Absent in messages of earlier versions.
         snapshot.deferred = message.size() > 5 && message.at(5).get<bool>();
         return snapshot;
     });
--- a/godwit/daemon/prefix_messages.h
+++ b/godwit/daemon/prefix_messages.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// What routers tell each other of the store's prefixes: deltas, digests and snapshots, as CBOR.
+// CBOR messages by which routers replicate prefixes of the store: updates, snapshots and snapshot requests.
 //
-// Decoding never throws: a message of another version, or a broken one, reads as nothing.
+// Decoding never throws: a malformed message, or one of another version, decodes as nullopt.
 
 #include "godwit/base/time.h"
 #include "godwit/gateway/store_item.h"
@@ -18,27 +18,28 @@
 namespace Godwit
 {
 
-// What a copy of a prefix holds, without its entries.
+// Summary of a copy of a prefix, without its entries.
 struct PrefixState
 {
     std::string prefix;
-    std::uint64_t completeTo = 0; // The store's revision up to which nothing is missing.
+    std::uint64_t completeTo = 0; // Store revision up to which the copy is complete.
     std::uint64_t digest = 0;
-    std::uint64_t newestRevision = 0; // Up to which the copy knows of changes.
+    std::uint64_t newestRevision = 0; // Highest store revision known to the copy.
 };
 
-// As a part of a message. Reading throws nlohmann::json::exception when it is malformed.
+// Encoding as part of another message. decodeState() throws nlohmann::json::exception on malformed input.
 nlohmann::json encodeState(const PrefixState &state);
 PrefixState decodeState(const nlohmann::json &row);
 
-// Whether the store was away lately: entries on leases may lapse meanwhile, and come back after its return.
+// Whether the store was unavailable recently: leased entries may have expired meanwhile, and are written again after it
+// recovers.
 struct StoreRecovery
 {
-    bool known = false; // A router that has just come, or was cut off itself, can't say.
-    std::optional<Duration> ago; // Unset: it was not away.
+    bool known = false; // False if the sender has just started, or was itself partitioned.
+    std::optional<Duration> ago; // Time since the recovery; unset if there was no outage.
 };
 
-// A change of a large value, for those that hold the value before.
+// A change of a large value, relative to the previous value.
 struct ItemDelta
 {
     std::string key;
@@ -48,9 +49,9 @@
 
 struct PrefixUpdate
 {
-    PrefixState state; // Of the sender's copy, these changes applied.
-    bool fromFullRead = false; // The sender has just read everything under the prefix.
-    bool truncated = false; // Some changes are too large to be told.
+    PrefixState state; // State of the sender's copy after these changes.
+    bool fromFullRead = false; // The sender has just completed a full read of the prefix.
+    bool truncated = false; // Some changes were too large to include.
     StoreRecovery storeRecovery;
     std::vector<StoreItem> changes;
     std::vector<ItemDelta> deltas;
@@ -59,21 +60,22 @@
 struct PrefixSnapshot
 {
     PrefixState state;
-    Duration age{}; // Since the sender last heard of a reading.
-    // For how long the sender has held changes that the asker's copy lacks.
+    Duration age{}; // Time since the last full read known to the sender.
+    // For how long the sender has had changes that the requester's copy lacks.
     Duration aheadFor{};
-    std::int64_t timestamp = 0; // Of the request that is answered.
-    std::optional<std::vector<StoreItem>> items; // Unset: the asker has them, or wanted none.
-    bool deferred = false; // The sender has no room on its link for the items that were asked for.
+    std::int64_t timestamp = 0; // Copied from the request.
+    std::optional<std::vector<StoreItem>>
+        items; // Unset if the requester has the same entries or asked for the state only.
+    bool deferred = false; // Items were requested, but the sender's bandwidth limit was exhausted.
 };
 
 struct SnapshotRequest
 {
     std::string prefix;
-    std::int64_t timestamp = 0; // The asker's clock, set as it is sent; comes back with the answer.
-    std::uint64_t digest = 0; // Of the asker's copy.
-    bool stateOnly = false; // No items are wanted, whether the copies differ or not.
-    std::uint64_t newestRevision = 0; // Of the asker's copy.
+    std::int64_t timestamp = 0; // Steady clock of the requester when it sends; returned in the response.
+    std::uint64_t digest = 0; // Of the requester's copy.
+    bool stateOnly = false; // Respond without items even if the copies differ.
+    std::uint64_t newestRevision = 0; // Of the requester's copy.
 };
 
 std::string encodeUpdate(const PrefixUpdate &update);
--- a/godwit/daemon/shared_prefix.cpp
+++ b/godwit/daemon/shared_prefix.cpp
@@ -25,7 +25,7 @@
     return bytes;
 }
 
-// From 0 to 1.
+// Uniformly distributed in [0, 1).
 double randomFraction()
 {
     static std::minstd_rand generator{std::random_device{}()};
@@ -84,7 +84,7 @@
 
 void SharedPrefix::scheduleRead()
 {
-    // The readers alone take turns as long as there are any.
+    // While there are readers, only they take part in the schedule.
     const bool standby = !rank();
     const int routers = routerCount ? routerCount() : 1;
     const int sharing = standby ? routers : std::min(routers, m_options.readSchedule.readers);
@@ -115,7 +115,7 @@
     }
 }
 
-// Two readings of a large copy would share this host's link, and make each other late.
+// Concurrent reads of a large copy would compete for this host's link and delay each other.
 void SharedPrefix::read(bool scheduled)
 {
     if (m_openReads > 0 && isLarge()) {
@@ -146,7 +146,7 @@
 
 void SharedPrefix::onRead(const StoreItemsReply &reply, TimePoint began, bool scheduled)
 {
-    // Calls go over several connections, and their answers overtake each other.
+    // Calls use several connections, so responses can arrive out of order.
     if (reply.revision < m_copy.completeTo) {
         return;
     }
@@ -182,8 +182,9 @@
     recordRead(StoreRecovery{});
 }
 
-// A router that heard of readings all the while knows best. One that did not takes its silence for a loss of the store
-// until such a router says otherwise: after a cut of its own, or with its link full, it would keep endpoints that left.
+// A router that has seen full reads without a gap reports reliably whether the store was unavailable. One with a gap
+// assumes an outage of the store until such a router reports otherwise: the gap may come from its own partition or a
+// saturated link, and treating it as an outage would keep endpoints that have left.
 void SharedPrefix::recordRead(const StoreRecovery &reported)
 {
     const TimePoint now = Relay::now();
@@ -251,8 +252,8 @@
                 continue;
             }
         }
-        // Where a fleet starts at once all find a large value by themselves, and a small host's link carries no copies
-        // for all others.
+        // When a whole fleet starts at once every router finds a large value by its own read. Non-readers don't send
+        // it, since a small host's link can't carry copies for all others.
         const std::size_t maxBytes = isReader ? m_options.maxSentValueBytes : m_options.minDeltaValueBytes;
         if (change.value.size() <= maxBytes) {
             update.changes.push_back(change);
@@ -311,7 +312,8 @@
     return applied;
 }
 
-// Where changes come faster than readings a copy differs from each reading, and lacks nothing.
+// A digest that differs is not sufficient: when changes arrive more often than full reads, a copy that is up to date
+// differs from every read.
 bool SharedPrefix::isBehind(const PrefixState &remote) const
 {
     if (digestOf(m_copy) == remote.digest) {
@@ -321,15 +323,16 @@
         || (remote.completeTo > m_copy.completeTo && !hasNewerThan(m_copy, remote.completeTo));
 }
 
-// Catches up with a copy that holds more: from a peer if `ask` is set, and if that brings nothing from the store. Out
-// of its reach other peers are asked, which may have it by then.
+// Catches up with `remote` after a delay: through `requester` if it is set, otherwise or if that brings nothing by
+// reading the store. If the store is unreachable other peers are asked, which may have the changes by then.
 void SharedPrefix::scheduleCatchUp(const PrefixState &remote, Duration after, const SnapshotRequester &requester)
 {
     const TimePoint due = Relay::now() + after;
     if (!m_catchUpDue || remote.newestRevision > m_catchUpTarget.newestRevision) {
         m_catchUpTarget = remote;
     }
-    // A change that has to be fetched at once must not wait for one that may still be on its way.
+    // A catch-up that is due earlier replaces the pending one: a change that has to be fetched now must not wait for
+    // one that may still be in transit.
     if (m_catchUpDue && *m_catchUpDue <= due) {
         return;
     }
@@ -362,7 +365,8 @@
     }
 }
 
-// One large snapshot at a time, like readings; what a copy that is not complete yet lacks may be large.
+// Requests one large snapshot at a time, as for reads. An incomplete copy may lack something large, so it is limited
+// too.
 bool SharedPrefix::requestSnapshot(const SnapshotRequester &requester)
 {
     if (!requester) {
@@ -383,7 +387,7 @@
     return true;
 }
 
-// The store's link carries a large snapshot better than a peer's, whose requests would wait behind it.
+// For a large copy the store is preferred over a peer, since a large snapshot delays the requests on the peer's link.
 bool SharedPrefix::isLarge() const
 {
     std::size_t bytes = 0;
@@ -419,7 +423,7 @@
     }
 }
 
-// What came while the answer was on its way counts as held.
+// Compares with the current copy: changes that arrived while the response was in transit count as present.
 void SharedPrefix::recordPeerFreshness(const PrefixSnapshot &snapshot)
 {
     const TimePoint requestedAt{Duration(snapshot.timestamp)};
@@ -439,7 +443,7 @@
     }
     PrefixSnapshot snapshot;
     snapshot.state = state();
-    // While the store is away from here too, there is nothing newer to have.
+    // If the store is unreachable from here as well, nothing newer can be read, so the copy counts as current.
     snapshot.age = isStoreReachable() && m_lastReadAt ? Relay::now() - *m_lastReadAt : Duration::zero();
     snapshot.aheadFor = timeAheadOf(m_changeTimes, request.newestRevision, Relay::now());
     if (!request.stateOnly && request.digest != snapshot.state.digest) {
@@ -481,7 +485,7 @@
         m_timer.cancel();
         m_store.cancelWatch(m_prefix);
         m_watching = false;
-        // By then the others have said that they reach it too.
+        // The delay lets the other routers report that they can reach the store too.
         runAfter(m_options.coalesceDelay, [this] {
             checkRole();
         });
--- a/godwit/daemon/shared_prefix.h
+++ b/godwit/daemon/shared_prefix.h
@@ -1,15 +1,16 @@
 #pragma once
 
-// Keeps a copy of everything under one prefix of the platform's store, together with the other routers.
+// Replicates all entries under one key prefix of the platform's store among the routers.
 //
-// A few routers, the readers, watch the prefix, read everything again in turns, and tell the others what is new; those
-// compare digests, and ask a peer for a snapshot where theirs differs. So the store's calls follow the changes and
-// not the size of the fleet, and a router that can't reach the store still learns what the others read. A router that
-// hears of no reading reads by itself (reading_turns.h). Not thread-safe.
+// A few routers, the readers, watch the prefix, take turns reading it in full, and broadcast the changes. The other
+// routers compare digests and request a snapshot from a peer when theirs differs. The number of store calls therefore
+// depends on the rate of changes and not on the size of the fleet, and a router that can't reach the store still
+// receives what the others read. A router that receives no report of a full read within the expected time reads the
+// prefix itself (read_schedule.h). Not thread-safe.
 //
 // Example:
 //   SharedPrefix endpoints(io, store, "servers/", options, [](const SharedPrefix::Items &items) { ... }, reached);
-//   endpoints.tell = [](const PrefixUpdate &update) { ... to all others ... };
+//   endpoints.broadcastUpdate = [](const PrefixUpdate &update) { ... to all others ... };
 //   endpoints.start();
 
 #include "godwit/base/time.h"
@@ -34,45 +35,50 @@
 
 struct SharedPrefixOptions
 {
-    // Where changes may be known a little later, the readings alone bring them.
+    // Whether readers watch the prefix. Without a watch changes arrive with the scheduled full reads only.
     bool watched = true;
-    // Longer waits cost fewer calls; a connection that went silent is noticed no sooner than this.
+    // Timeout of one watch call. A longer timeout costs fewer calls, but a dead connection is detected no sooner than
+    // this.
     Duration watchTimeout = std::chrono::seconds(8);
-    // Of the first reading, while the store is out of reach.
+    // Delay before the initial full read or a failed watch is retried while the store can't be reached.
     Duration retryInterval = std::chrono::milliseconds(1500);
-    // After an answer, so that a series of changes comes in one.
+    // Delay before the next watch call, so that a series of changes arrives in one response.
     Duration coalesceDelay = std::chrono::milliseconds(100);
-    // Each change goes to every router, so that the pause grows with the fleet, well within the seconds in which a
-    // change has to be known. Without it a storm of documents fills the links.
+    // Added to `coalesceDelay` for each router: every change is sent to every router, and without this delay frequent
+    // document changes saturate the links. It stays well below the few seconds within which a change has to be applied.
     Duration coalesceDelayPerRouter = std::chrono::milliseconds(6);
     ReadScheduleOptions readSchedule;
-    // A message can overtake another one, from another router, by this much.
+    // By how much a message can be overtaken by one from another router; a gap is treated as a loss only after this
+    // delay.
     Duration reorderDelay = std::chrono::milliseconds(100);
-    // What a peer's copy holds besides is on its way here in most cases.
+    // Delay before catching up when a peer's digest shows unknown changes: in most cases these are already in transit.
     Duration catchUpDelay = std::chrono::milliseconds(1000);
-    // A peer that has not sent its snapshot by then is left alone, and the store asked.
+    // Time-out of a snapshot request to a peer; after it the store is read, or another peer is asked.
     Duration snapshotTimeout = std::chrono::milliseconds(300);
-    // Peers are asked again after twice the time each, up to this; then the next beat begins anew.
+    // Upper bound of the retry delay, which doubles with each request to a peer. After that the next heartbeat of a
+    // peer starts the sequence again.
     Duration maxRetryDelay = std::chrono::milliseconds(2400);
-    // A large snapshot counts as on its way for so long, and for twice as long after each one that did not come: how
-    // wide this host's link is, and what else it carries, is not known.
+    // Initial time-out of a large snapshot; it doubles with each one that does not arrive, up to
+    // `maxLargeSnapshotTimeout`, since the bandwidth and other load of this host's link are unknown.
     Duration largeSnapshotTimeout = std::chrono::seconds(1);
     Duration maxLargeSnapshotTimeout = std::chrono::seconds(8);
-    // What each further reader leaves to the one before it: else all of them would tell the same. More of it where that
-    // takes the other a while.
+    // Each reader delays its broadcast of a watched change by this much per rank, so that not all readers broadcast the
+    // same change. The large delay applies to changes that take the first reader longer to send.
     Duration readerRankDelay = std::chrono::milliseconds(25);
     Duration largeReaderRankDelay = std::chrono::milliseconds(250);
-    // A change of a larger value is told as what changed, to those that hold the value before.
+    // Changes of values of at least this size are sent as deltas, which only routers with the previous value can apply.
     std::size_t minDeltaValueBytes = 1024;
-    // A larger value is read by each router, spread over `readSpread`: passing it on keeps small hosts' links busy, and
-    // the tokens that go over them late.
+    // Larger values are not sent in full: each router reads them from the store, spread over `readSpread`. Sending them
+    // would saturate the links of small hosts and delay token transfers.
     std::size_t maxSentValueBytes = 64UL * 1024;
-    // Readers, whose links are wide, tell more than that of what has changed: it is less than each router would read.
+    // Limit for deltas sent by readers. It is higher than the limit for whole values, since readers have fast links and
+    // a delta is smaller than what each router would read from the store.
     std::size_t maxSentDeltaBytes = 512UL * 1024;
     Duration readSpread = std::chrono::milliseconds(300);
-    // Entries on leases can lapse while the store is away for so long.
+    // If no full read has been seen for this long, the store is taken to have been unavailable; leased entries may have
+    // expired meanwhile.
     Duration minOutageGap = std::chrono::seconds(2);
-    // A process that has read for the first time within this time can't say whether the store was away.
+    // For this long after its first full read a router can't tell whether the store was unavailable.
     Duration newcomerPeriod = std::chrono::seconds(3);
 };
 
@@ -83,12 +89,12 @@
 
 std::string_view fetchSourceName(FetchSource source);
 
-// One answer with everything under a prefix, or the lack of one.
+// Outcome of one full read from the store, or of one snapshot received from a peer.
 struct CopyFetch
 {
     FetchSource source = FetchSource::Store;
     bool succeeded = false;
-    std::size_t bytes = 0; // Of the values.
+    std::size_t bytes = 0; // Total size of the values.
     Duration duration{};
 };
 
@@ -96,10 +102,11 @@
 {
 public:
     using Items = std::map<std::string, StoreItem>;
-    // Asks a peer for its snapshot; false when it can't be asked.
+    // Requests a snapshot from a peer; returns false if no request could be sent.
     using SnapshotRequester = std::function<bool()>;
 
-    // `changed` gets the whole copy after each change; `reached` says after each answer whether the store spoke.
+    // `onCopyChanged` is called with the whole copy after each change; `onStoreResult` is called after each store call
+    // with whether the store responded.
     SharedPrefix(boost::asio::io_context &io,
                  StoreClient &store,
                  std::string prefix,
@@ -107,38 +114,40 @@
                  std::function<void(const Items &)> onCopyChanged,
                  std::function<void(bool)> onStoreResult);
 
-    // Reads everything, and goes on in turns.
+    // Starts with a full read, then follows the read schedule.
     void start();
 
-    // Waits for its turn instead, or for a peer's snapshot.
+    // Starts without an initial read: waits for the scheduled read or for a peer's snapshot.
     void startDeferred();
 
-    // Begins or ends to watch, where the role of this router has changed.
+    // Opens or cancels the watch after the reader role of this router may have changed.
     void checkRole();
 
-    // A peer has told changes, or what its copy holds.
+    // Processes a peer's update: changes, or only the state of its copy.
     void onUpdate(const PrefixUpdate &update, const SnapshotRequester &requestFromSender);
 
-    // A peer has sent what it was asked for.
+    // Processes a snapshot that this router requested.
     void onSnapshot(const PrefixSnapshot &snapshot);
 
-    // What a peer gets that asks; unset while this copy is not complete.
+    // Returns the response to a peer's request; unset while this copy is not complete.
     std::optional<PrefixSnapshot> snapshotFor(const SnapshotRequest &request) const;
 
-    // Asks anew at once: the store has come back, and an open watch may hang on a dead connection.
+    // Cancels and reopens outstanding calls after the store has become reachable again: an open watch may hang on a
+    // dead connection.
     void reconnect();
 
-    // Reads everything now, for this router alone. A large copy is read once at a time: then after the reading that is
-    // open, if something is lacking still.
+    // Starts a full read whose result is not broadcast. Only one read of a large copy runs at a time: if one is open,
+    // another one follows it, provided that the copy is still behind then.
     void readNow();
 
-    // Makes sure that the copy is as new as those of the others: asks one of them, or else the store.
+    // Verifies that the copy is as recent as those of the other routers: requests a snapshot from a peer, or else reads
+    // the store.
     void verifyFreshness();
 
-    // What the copy holds now.
+    // Returns the summary of the current copy.
     PrefixState state() const;
 
-    // Asks a peer whether it holds more.
+    // Returns a request for a snapshot that differs from the current copy.
     SnapshotRequest request() const;
 
     const std::string &prefix() const
@@ -146,47 +155,48 @@
         return m_prefix;
     }
 
-    // The copy is at least as new as this, or as new as the peer's that was asked then while nobody reached the
-    // store.
+    // The copy contains every change up to this time. While no router reaches the store, it is instead as recent as
+    // that of the peer that was asked at this time.
     TimePoint asOf() const
     {
         return m_asOf;
     }
 
-    // What peers have said of the age of this copy.
+    // Staleness of this copy as derived from peers' responses.
     const CopyFreshness &freshness() const
     {
         return m_freshness;
     }
 
-    // Whether the copy has been complete once.
+    // Whether a full read or a snapshot has been applied at least once.
     bool isComplete() const
     {
         return m_copy.complete;
     }
 
-    // All other routers are to be told.
+    // Sends an update to all other routers.
     std::function<void(const PrefixUpdate &)> broadcastUpdate;
 
-    // Asks any peer for its snapshot.
+    // Requests a snapshot from an arbitrary peer.
     SnapshotRequester requestFromAnyPeer;
 
-    // Called when a reading showed changes that this router's watch had not brought.
+    // Called when a full read found changes that this router's open watch had not delivered.
     std::function<void()> onWatchMissedChange;
 
-    // Called after each reading, and with each snapshot of a peer that brought entries.
+    // Called after each full read, and for each peer snapshot that contained entries.
     std::function<void(const CopyFetch &)> onFetched;
 
-    // Called with each reading, before its changes: when the store came back, if it was away lately.
+    // Called with each full read, before its changes are applied: the time at which the store became available again,
+    // if it was unavailable recently.
     std::function<void(std::optional<TimePoint>)> onStoreRecovery;
 
-    // Which of the readers this router is, if any; unset: the first.
+    // Rank of this router among the readers, if it is one. If no function is set, the router is the first reader.
     std::function<std::optional<int>()> readerRank;
 
-    // Whether the store answers this router; unset: it does.
+    // Whether this router can reach the store. If no function is set, it can.
     std::function<bool()> storeReachable;
 
-    // How many routers share the readings.
+    // Number of routers that share the read schedule.
     std::function<int()> routerCount;
 
 private:
@@ -197,7 +207,7 @@
     void scheduleRead();
     void readOnSchedule();
     void read(bool scheduled);
-    // Asks with `ask` unless a large snapshot is on its way; false when nobody can be asked.
+    // Calls `requester` unless a large snapshot is already in transit; false if no request could be sent.
     bool requestSnapshot(const SnapshotRequester &requester);
     void onRead(const StoreItemsReply &reply, TimePoint began, bool scheduled);
     void reportFetch(const StoreItemsReply &reply, TimePoint began) const;
@@ -206,12 +216,13 @@
     void onChanged(const std::vector<StoreItem> &changes);
     void recordRead(const StoreRecovery &reported);
     StoreRecovery storeRecovery() const;
-    // By key, the values that `items` replace and a delta pays for.
+    // By key, the stored values that `items` replace and that are large enough for a delta.
     std::map<std::string, std::string> replacedValues(const std::vector<StoreItem> &items) const;
     void broadcastChanges(const std::vector<StoreItem> &changes,
                           const std::map<std::string, std::string> &replaced,
                           bool fromFullRead);
-    // What `deltas` make of the values held here; false when one of them needs another base.
+    // Applies `deltas` to the stored values and appends the results to `changes`; false if a base value is missing or
+    // differs.
     bool applyDeltas(const std::vector<ItemDelta> &deltas, std::vector<StoreItem> &changes) const;
     void scheduleCatchUp(const PrefixState &remote, Duration after, const SnapshotRequester &requester);
     bool isBehind(const PrefixState &remote) const;
@@ -233,21 +244,21 @@
     bool m_started = false;
     bool m_initialReadOpen = false;
     int m_openReads = 0;
-    bool m_rereadPending = false; // Once the open reading has ended.
-    TimePoint m_snapshotDeadline; // Until then one that a peer was asked for counts as on its way.
+    bool m_rereadPending = false; // A read was requested while one was open.
+    TimePoint m_snapshotDeadline; // Until then a requested large snapshot is treated as in transit.
     Duration m_snapshotTimeout{};
     bool m_watching = false;
-    std::optional<TimePoint> m_catchUpDue; // When it will be caught up with what is wanted.
-    PrefixState m_catchUpTarget; // What is being caught up with.
+    std::optional<TimePoint> m_catchUpDue; // When the pending catch-up runs.
+    PrefixState m_catchUpTarget; // The most recent state that this copy has to reach.
     TimePoint m_asOf;
     ChangeTimes m_changeTimes;
     CopyFreshness m_freshness;
-    std::uint64_t m_missingRevision = 0; // A peer is known to hold changes up to this revision.
+    std::uint64_t m_missingRevision = 0; // A peer is known to have changes up to this revision.
     TimePoint m_firstReadAt;
-    std::optional<TimePoint> m_lastReadAt; // The last reading, of whichever router.
-    std::optional<TimePoint> m_storeRecoveredAt; // The end of the store's last absence, while it matters.
-    bool m_recoveryInferred = false; // From this router's own silence.
-    std::uint64_t m_generation = 0; // Answers to calls of earlier rounds come too late.
+    std::optional<TimePoint> m_lastReadAt; // Last full read by any router.
+    std::optional<TimePoint> m_storeRecoveredAt; // When the store became available again; reset after `newcomerPeriod`.
+    bool m_recoveryInferred = false; // Inferred from a gap in the reads that this router knows of.
+    std::uint64_t m_generation = 0; // Responses to calls of an earlier generation are ignored.
 };
 
 } // namespace Godwit
