--- a/godwit/daemon/fleet_links.cpp
+++ b/godwit/daemon/fleet_links.cpp
@@ -16,7 +16,7 @@
 using nlohmann::json;
 using namespace internal;
 
-// A peer that nobody lists and nobody hears is forgotten after this long.
+// An unlisted peer without a link is dropped this long after its last message.
 constexpr Duration PeerExpiry = std::chrono::seconds(20);
 
 } // namespace
@@ -61,7 +61,7 @@
     RouterMeshOptions mesh;
     mesh.listenAddress = m_options.listenAddress;
     mesh.allowPlainText = true;
-    // Cuts are short and frequent: a link that carries nothing is replaced soon.
+    // Network outages are short and frequent: a silent link is replaced soon.
     mesh.silenceLimit = std::chrono::seconds(3);
     mesh.reconnectLimit = std::chrono::seconds(1);
     RouterMeshCallbacks callbacks;
@@ -104,13 +104,14 @@
         peer.listed = false;
     }
     for (const FleetMember &member : members) {
-        // Also the entry of an earlier process on this host.
+        // Skips the entry of an earlier process on this host as well.
         if (member.callerAddress == m_options.own.callerAddress) {
             continue;
         }
         Peer &peer = m_peers[member.incarnation];
         if (!peer.listed && peer.lastMessageAt == TimePoint{}) {
-            // Until its link stands the platform's word is enough, but for sending anyone there.
+            // Until the link is open the platform's list suffices to count the peer as alive, but not to send callers
+            // there.
             peer.lastMessageAt = Relay::now();
             peer.ready = true;
         }
@@ -122,8 +123,9 @@
     chooseHomes();
 }
 
-// At once when it changes: until the others know, each of the routers that start together takes itself for the home of
-// all customers, and requests go on to a home that is leaving; and each that reaches the store again for a reader.
+// Sent as soon as it changes. Until the others know, each of the routers that start together acts as the home of all
+// customers, requests still go to a home that is leaving, and each router that reaches the store again acts as a
+// reader.
 void FleetLinks::sendReadinessChange()
 {
     if (m_sentReady != m_relay.isReady() || m_sentStoreReachable != m_relay.state().platformInReach) {
@@ -153,7 +155,7 @@
     return peer.member.capacity >= m_minAdvertisedCapacity;
 }
 
-// Routers that have no link with each other go by the platform's list.
+// Routers without a link to this one are judged by the platform's list.
 bool FleetLinks::isAlive(const Peer &peer, TimePoint now) const
 {
     return isResponsive(peer, now) || (peer.listed && !peer.dialled);
@@ -182,7 +184,7 @@
     }
     const double decay = 1 - toSeconds(heartbeatInterval()) / toSeconds(m_options.loadDecayTime);
     m_fleetLoad = std::max(load, m_fleetLoad * decay);
-    // What has passed counts as if it came to this host.
+    // The remaining decayed load is attributed to this host.
     hosts.front().load += m_fleetLoad - load;
     const double minCapacity = minAdvertisedCapacity(std::move(hosts), m_options.advertisedHosts);
     if (minCapacity != std::exchange(m_minAdvertisedCapacity, minCapacity)) {
@@ -193,7 +195,7 @@
     m_relay.state().senders = advertisedRouters(now);
 }
 
-// The routers that callers are told of get nearly all requests, so that they hold the shares of the fleet's limits.
+// Advertised routers get nearly all requests, so they hold the shares of the fleet's limits.
 AdvertisedRouters FleetLinks::advertisedRouters(TimePoint now) const
 {
     AdvertisedRouters group;
@@ -209,15 +211,15 @@
     return group;
 }
 
-// Between two routers that callers are not told of no link is needed: in a fleet of 60 with six large hosts that leaves
-// 340 of 1,770 links.
+// Two routers that are both not advertised need no link: in a fleet of 60 with six large hosts 340 of 1,770 links
+// remain.
 void FleetLinks::dialPeers()
 {
     for (auto &[incarnation, peer] : m_peers) {
         if (!peer.dialled && peer.listed && (isAdvertised() || isAdvertised(peer))) {
             peer.dialled = true;
             if (peer.lastMessageAt == TimePoint{}) {
-                // Until its link stands the platform's word is enough.
+                // Until the link is open the platform's list suffices to count the peer as alive.
                 peer.lastMessageAt = Relay::now();
             }
             m_mesh->connectTo(peer.member.host, peer.member.peerAddress);
@@ -263,7 +265,7 @@
     scheduleCheck();
 }
 
-// Looks often whether the readiness has changed; beats when it is time.
+// Checks readiness often, and sends a heartbeat when it is due.
 void FleetLinks::scheduleCheck()
 {
     m_timer.expires_at(std::min(m_nextHeartbeatAt, Relay::now() + m_options.readinessCheckInterval));
@@ -294,7 +296,7 @@
     const auto &share = m_relay.state().prepaid;
     json held = json::object();
     for (const auto &[customer, account] : share.accounts) {
-        // Also a former home that has used all of its grant: others would take it for unused.
+        // Includes a former home that has used all of its grant: the others would otherwise count the grant as unused.
         const bool included = account.isHome || account.granted > 0;
         if (account.bounded && included && held.size() < m_options.maxCustomersPerHeartbeat) {
             held[customer.value] = encodeHolding(customer);
@@ -414,8 +416,8 @@
     }
 }
 
-// A router may tell one prompt each `pause`. While it has more than that to tell, the shortest told grows; while it has
-// less, it shrinks.
+// Each router may announce one prompt per `interval`. The minimum length of announced prompts grows while there are
+// more than that, and shrinks while there are fewer.
 void FleetLinks::announcePrompt(const PromptSent &prompt, Duration reading)
 {
     const double minSeconds = toSeconds(m_options.minAnnouncedPromptTime);
@@ -424,7 +426,7 @@
         return;
     }
     const TimePoint now = Relay::now();
-    // Hardly a request comes to the others.
+    // The other routers get hardly any requests, so the announcements go to the advertised ones only.
     const auto routers = static_cast<double>(std::count_if(m_peers.begin(),
                                                            m_peers.end(),
                                                            [this](const auto &entry) {
@@ -455,7 +457,7 @@
     recordRemotePrompt(m_relay.state().endpoints, prompt, m_relay.options().choice, Relay::now());
 }
 
-// Grows with the fleet, so that a router's messages a second do not.
+// Grows with the fleet, so that the number of messages per second at a router does not.
 Duration FleetLinks::heartbeatInterval() const
 {
     return heartbeatIntervalOf(isAdvertised());
--- a/godwit/daemon/fleet_links.h
+++ b/godwit/daemon/fleet_links.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// What the routers tell each other over their links: that they live, what is new in the platform's store, what they
-// hold of each budget, and tokens that move from one to another.
+// Messages between the routers of a fleet: heartbeats, replication of the platform's store, holdings of each budget,
+// and token transfers.
 //
-// A message may be lost with its link; nothing here depends on one. Not thread-safe.
+// Delivery is best effort: a message may be lost with its link, and correctness depends on none. Not thread-safe.
 
 #include "godwit/base/time.h"
 #include "godwit/daemon/prefix_messages.h"
@@ -32,65 +32,67 @@
 struct FleetLinksOptions
 {
     Hello own;
-    double ownCapacity = 0; // Requests a second that this host can take.
+    double ownCapacity = 0; // Requests per second that this host can take.
     std::string listenAddress;
-    // With more peers than this, beats come less often. Routers that callers are not told of beat `quietBeats` times
-    // less often: nothing hangs on them.
+    // Heartbeats become less frequent above `maxPeersAtBaseInterval` peers. Routers that are not advertised to callers
+    // send them less often by `unadvertisedHeartbeatFactor`, since no traffic depends on them.
     Duration heartbeatInterval = std::chrono::milliseconds(400);
     int maxPeersAtBaseInterval = 64;
     int unadvertisedHeartbeatFactor = 4;
     EntryHostOptions advertisedHosts;
-    // A load that has passed counts on for this long, so that the list of hosts doesn't change with each wave.
+    // A load peak decays over this time, so that the list of advertised hosts does not change with each fluctuation.
     Duration loadDecayTime = std::chrono::seconds(10);
-    // How soon the others hear that this router has become ready, or leaves.
+    // Interval at which a change of readiness is detected and sent to the others.
     Duration readinessCheckInterval = std::chrono::milliseconds(50);
-    // Callers are sent to a router that was heard within so many beats.
+    // A router is advertised to callers only if a message arrived from it within this many heartbeat intervals.
     int responsiveHeartbeats = 4;
-    // No second question to other homes about the same customer within this time.
+    // Minimum interval between reclaims of one customer's tokens from other routers.
     Duration reclaimInterval = std::chrono::milliseconds(30);
-    // A home answers a wish within a few milliseconds, if only by saying that it has to wait. One that has not answered
-    // for so long is passed over for `passOver`: a host that vanished closes no link, and beats tell only after 1.6 s.
+    // A home answers a token request within a few milliseconds, if only to confirm that it is waiting. One that has not
+    // answered within `homeResponseTimeout` is skipped for `unresponsiveHomePeriod`: a host that vanished closes no
+    // connection, and missing heartbeats show it only after 1.6 s.
     Duration homeResponseTimeout = std::chrono::milliseconds(40);
     Duration unresponsiveHomePeriod = std::chrono::seconds(1);
     TokenPrefetchOptions prefetch;
     std::size_t homeCount = 6;
-    // How long a wish waits at a home, and how long it counts as on its way here: no request waits longer.
+    // How long a token request waits at a home, and counts as pending at the sender: no caller's request waits longer.
     Duration tokenRequestTimeout = std::chrono::milliseconds(200);
-    // A ledger up to this size is told to all others once it is written; a longer one costs more than the refused
-    // writes that it saves.
+    // A ledger up to this size is sent to the other routers once it is written; sending a larger one costs more than
+    // the conflicting writes that it avoids.
     std::size_t maxSharedLedgerBytes = 12UL * 1024;
-    // A router that is ready waits this long before it is home to any customer, and by `settlePerRouter` longer for
-    // each router that it has not heard yet; meanwhile it looks this often. Where the whole fleet starts at once it
-    // would be one of many, and their writes refuse each other's. Small hosts need their time for each link.
+    // A router that has become ready waits for `settleTime` before it acts as a home, and up to `settleTimePerRouter`
+    // longer for each listed router that has not reported yet; without peers it checks every `soloCheckInterval`. When
+    // a whole fleet starts at once it would otherwise be one of many homes whose writes conflict. Small hosts need time
+    // to open each link.
     Duration settleTime = std::chrono::milliseconds(350);
     Duration settleTimePerRouter = std::chrono::milliseconds(10);
     Duration soloCheckInterval = std::chrono::milliseconds(100);
-    // An update that takes more than this for all routers goes to some of them, which pass it on to the rest: a
-    // document for each of hundreds of routers would keep one host's link busy for seconds. Others go to each router,
-    // since what goes over a router is lost for its part of the fleet while that one is frozen.
+    // An update whose copies for all routers exceed this size together is sent to some routers, which forward it to the
+    // rest: a document for each of hundreds of routers would saturate one host's link for seconds. Smaller updates are
+    // sent directly, since a forwarding router that is frozen delays its whole group.
     std::size_t minRelayedUpdateBytes = 1024UL * 1024;
-    // Snapshots for the peers. Where few hosts reach the store all others ask them at once, and whole documents for
-    // each would keep a small host's link busy for seconds.
+    // Bandwidth for snapshots sent to peers. If few hosts reach the store all others ask them at once, and whole
+    // documents for each would saturate a small host's link for seconds.
     ByteRateLimit snapshotRate{bytesPerSecond(500)};
     std::size_t minLargeSnapshotBytes = 64UL * 1024;
     int readers = ReadScheduleOptions{}.readers;
-    // Prompts that take an engine less time than this are not told to the other routers: a request behind one of them
-    // is hardly later.
+    // Prompts that an engine reads in less time are not announced to the other routers: they hardly delay a request
+    // behind them.
     Duration minAnnouncedPromptTime = std::chrono::milliseconds(12);
-    // All routers together tell each other of this many prompts a second, counted at each that hears: each costs some
-    // 40 us at both ends. In a large fleet only the longest are told.
+    // Bound on the announced prompts per second that all routers receive in total: each costs about 40 us at both ends.
+    // In a large fleet only the longest are announced.
     double maxPromptsReceivedPerSecond = 2500;
-    // Answers between routers come within a few milliseconds. One that took this long has waited in this host's own
-    // queue, and a list of endpoints as old and a request as late still meet the 2 s within which an endpoint that
-    // leaves may get requests.
+    // Responses between routers arrive within a few milliseconds. One that took this long was queued at this host.
+    // Endpoint lists and requests that are late by the same amount still meet the 2 s within which a leaving endpoint
+    // may get requests.
     Duration staleLag = std::chrono::milliseconds(500);
-    // Questions whose answers are waited for; one that is older than these has been lost.
+    // Maximum number of open lag probes; the oldest one beyond it counts as lost.
     std::size_t maxOpenLagProbes = 32;
-    // Customers in one beat at most.
+    // Maximum number of customers in one heartbeat.
     std::size_t maxCustomersPerHeartbeat = 64;
 };
 
-// A router as the platform lists it, or as its hello said.
+// A router as listed by the platform, or as described by its hello.
 struct FleetMember
 {
     HostId host;
@@ -98,7 +100,7 @@
     DataCentreId dataCentre;
     std::string callerAddress;
     std::string peerAddress;
-    double capacity = 0; // Requests a second that its host can take.
+    double capacity = 0; // Requests per second that its host can take.
 };
 
 std::string encodeMember(const FleetMember &member);
@@ -113,87 +115,88 @@
     bool start(LastReason &reason);
     void stop();
 
-    // The live routers as the platform lists them. Those that it no longer lists stay known while they are heard.
+    // Sets the live routers listed by the platform. Routers that are no longer listed stay known while their messages
+    // arrive.
     void setListed(const std::vector<FleetMember> &members);
 
-    // Asks for what the requests that wait here need in all: the customer's home, or, at the home itself, whoever else
-    // still holds some.
+    // Requests the tokens that the requests waiting here need in total: from the customer's home, or, at the home
+    // itself, from the routers that still hold some.
     void requestTokens(const CustomerId &customer, Tokens needed);
 
-    // Sends what other routers wait for and is there now.
+    // Sends tokens that other routers wait for and that are available now.
     void serveTransferRequests();
 
-    // Says now what the next beat would say, such as that this router is leaving.
+    // Sends a heartbeat at once, for example when this router starts to leave.
     void sendHeartbeat();
 
-    // The routers that take requests, this one left out.
+    // Returns the routers that take requests, without this one.
     std::vector<EntryAddress> callerAddresses() const;
 
-    // Whether callers are told of this router.
+    // Whether this router is advertised to callers.
     bool isAdvertised() const
     {
         return m_options.ownCapacity >= m_minAdvertisedCapacity;
     }
 
-    // Routers that take requests, this one included.
+    // Returns the number of routers that take requests, including this one.
     int liveCount() const;
 
-    // Tells all others what is new under a prefix of the store.
+    // Sends an update of a store prefix to all other routers.
     void sendUpdate(const PrefixUpdate &update);
 
-    // Asks a router for its snapshot of a prefix, where it differs from this router's copy; false when it is not
-    // linked.
+    // Requests a router's snapshot of a prefix, to be sent if it differs from this router's copy; false if there is no
+    // link.
     bool requestSnapshot(const Incarnation &peer, SnapshotRequest request);
 
-    // The same of any router that callers are told of.
+    // Same, from a random router that is advertised to callers.
     bool requestSnapshotFromAny(const SnapshotRequest &request);
 
-    // Asks some routers whether they hold more than this one, and sees how late the answers come: a host whose link is
-    // full is behind.
+    // Requests the states of some routers' copies and measures how late the responses arrive: high lag shows that this
+    // host's link is saturated.
     void compareCopies(const std::vector<SnapshotRequest> &requests);
 
-    // Which of the prefix's readers this router is, if any.
+    // Returns this router's rank among the readers of the prefix; nullopt if it is none.
     std::optional<int> readerRankOf(const std::string &prefix) const;
 
-    // Tells all others how the ledger of prepaid totals stands since this router's write.
+    // Sends the ledger of prepaid totals after this router's write to the advertised routers.
     void broadcastLedger(std::uint64_t revision, const std::string &ledger);
 
-    // Tells all others that this router has sent a long prompt to an engine.
+    // Announces to the advertised routers that this router has sent a long prompt to an engine.
     void announcePrompt(const PromptSent &prompt, Duration reading);
 
-    // Tells those that callers are told of about requests that endpoints died under.
+    // Announces requests under which endpoints died to the advertised routers.
     void announceSuspects(const std::vector<SuspectNotice> &notices);
 
-    // Another router has told of such requests.
+    // Called when another router announces such requests.
     std::function<void(const std::vector<SuspectNotice> &)> onSuspects;
 
-    // Which part of the other routers that the platform lists, and that this one has links with, is heard; 1 when it
-    // lists none.
+    // Returns the fraction of responsive routers among those that the platform lists and that this one opens links to;
+    // 1 if there are none.
     double responsivePeerFraction() const;
 
-    // Which part of the routers that are heard has lately said that the platform's store is out of its reach; 1 when
-    // none is heard.
+    // Returns the fraction of the responsive routers whose last heartbeat reported the store as unreachable; 1 if none
+    // is responsive.
     double storeUnreachableFraction() const;
 
-    // Tells all others that the platform's store answers again.
+    // Notifies all other routers that the platform's store responds again.
     void broadcastStoreReachable();
 
-    // Another router has reached the platform's store.
+    // Called when another router has reached the platform's store again.
     std::function<void()> onStoreReachable;
 
-    // How late another router's answer came; called for each that tells when it was sent, also for those in time.
+    // Called with the lag of each response that carries the time of its request, also for those in time.
     std::function<void(Duration)> onLag;
 
-    // Another router has told what is new under a prefix, or what its copy holds.
+    // Called with a peer's update of a prefix, or with the state of its copy.
     std::function<void(const Incarnation &from, const PrefixUpdate &update)> onUpdate;
 
-    // Another router has sent its snapshot.
+    // Called with each snapshot received.
     std::function<void(const PrefixSnapshot &)> onSnapshot;
 
-    // Answers another router's request; unset while there is nothing to send.
+    // Builds the response to another router's request; unset if there is nothing to send.
     std::function<std::optional<PrefixSnapshot>(const SnapshotRequest &)> snapshotFor;
 
-    // What this router's copies hold, for its beats.
+    // Returns the states of this router's copies, for its heartbeats.
     std::function<std::vector<PrefixState>()> copyStates;
 
 private:
@@ -205,9 +208,9 @@
         bool ready = false;
         bool heartbeatReceived = false;
         bool dialled = false;
-        double load = 0; // Requests a second.
+        double load = 0; // Requests per second.
         TimePoint lastMessageAt;
-        // Since when a wish of this router has had no answer, and until when this peer is passed over for that.
+        // Since when a token request to this peer is unanswered, and until when the peer is skipped as a home for that.
         std::optional<TimePoint> unansweredSince;
         TimePoint skippedUntil;
         TimePoint linkedAt;
@@ -220,18 +223,18 @@
     void checkSettled(TimePoint now);
     void chooseHomes();
     bool isServing(const Peer &peer, TimePoint now) const;
-    // Hosts of this capacity and more are of the largest kind that is up.
+    // Minimum capacity of the hosts that belong to the largest class of those that are up.
     double minLargestClassCapacity(TimePoint now) const;
-    // The routers that are homes now; null stands for this one.
+    // Current homes; null stands for this router.
     std::vector<Peer *> homeRouters(TimePoint now);
-    // Null when this router is the home, or when there is none.
+    // Null if this router is the home, or if there is none.
     Peer *homeOf(const CustomerId &customer, const std::vector<Peer *> &hosts) const;
     void requestFromHome(const CustomerId &customer, Tokens needed);
     void prefetchTokens();
     void reclaimFromHolders(const CustomerId &customer, Tokens needed);
     void armResponseTimer();
     void skipUnresponsiveHomes();
-    // `stamp`: of the wish that is answered at once, or 0.
+    // `timestamp` is that of the token request answered at once, or 0.
     void sendTransfer(const TokenTransfer &transfer, Tokens timestamp = 0);
     void recordLag(Tokens timestamp);
     void returnUnusedTokens();
@@ -276,7 +279,7 @@
     boost::asio::steady_timer m_timer;
     std::map<Incarnation, Peer> m_peers;
     std::map<CustomerId, TimePoint> m_reclaimedAt;
-    // What homes have been asked for and not sent yet.
+    // Tokens requested from homes and not received yet.
     struct PendingTokens
     {
         Tokens tokens = 0;
@@ -289,18 +292,18 @@
     std::optional<TimePoint> m_readyAt;
     bool m_settled = false;
     ByteRateLimiter m_snapshotBytes;
-    std::deque<std::int64_t> m_lagProbes; // Of the questions whose first answer is still out, the oldest first.
+    std::deque<std::int64_t> m_lagProbes; // Timestamps of the probes without a response yet, the oldest first.
     bool m_sentReady = false;
     bool m_sentStoreReachable = false;
     TimePoint m_nextHeartbeatAt;
-    // The least capacity of the hosts that callers are told of.
+    // Minimum capacity of the hosts that are advertised to callers.
     double m_minAdvertisedCapacity = 0;
-    double m_load = 0; // Requests a second at this router, as an average of the last beats.
+    double m_load = 0; // Requests per second at this router, smoothed over heartbeats.
     double m_fleetLoad = 0;
     std::uint64_t m_measuredRequests = 0;
     TimePoint m_measuredAt;
-    // The shortest prompt that is told now, as reading time in seconds; follows the bound on what is told.
-    ExchangeTime m_exchangeTime; // With homes.
+    ExchangeTime m_exchangeTime; // Of token requests to homes.
+    // Prompts are announced from this reading time on; adjusted to keep to `maxPromptsReceivedPerSecond`.
     double m_minAnnouncedSeconds = 0;
     TimePoint m_promptAnnouncedAt;
 };
--- a/godwit/daemon/fleet_messages.cpp
+++ b/godwit/daemon/fleet_messages.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-// Beats nest two levels deep.
+// Heartbeats nest two levels deep.
 constexpr std::size_t MaxDepth = 4;
 
 } // namespace
--- a/godwit/daemon/fleet_messages.h
+++ b/godwit/daemon/fleet_messages.h
@@ -1,9 +1,10 @@
 #pragma once
 
-// The messages between routers: their topics, and CBOR with bounds on what another process may send.
+// Topics of the messages between routers, and their encoding as CBOR with bounds on what is accepted from another
+// process.
 //
 // Example:
-//   mesh.send(peer, {internal::GiveTopic, internal::toBytes(json::array({customer, amount}))});
+//   mesh.send(peer, {internal::TokenTransferTopic, internal::encodeCbor(json::array({customer, amount}))});
 
 #include "godwit/base/ids.h"
 
@@ -30,12 +31,12 @@
 inline constexpr const char *PromptTopic = "prompt";
 inline constexpr const char *SuspectsTopic = "suspects";
 
-// An array of tokens has room for this many.
+// Capacity of Amounts::tokens.
 inline constexpr std::size_t MaxAmounts = 3;
 
 std::string encodeCbor(const nlohmann::json &value);
 
-// A malformed message of another version or a broken process is worth nothing: it reads as null.
+// Returns null for malformed input, such as a message of another version or of a faulty process.
 nlohmann::json decodeCbor(const std::string &bytes);
 
 struct Amounts
@@ -44,7 +45,7 @@
     std::array<Tokens, MaxAmounts> tokens{};
 };
 
-// A customer with `count` amounts of tokens, at most MostAmounts.
+// Decodes a customer and `count` token amounts, at most MaxAmounts; nullopt if the message has another form.
 std::optional<Amounts> decodeAmounts(const nlohmann::json &message, std::size_t count);
 
 } // namespace Godwit::internal
--- a/godwit/daemon/fleet_replication.cpp
+++ b/godwit/daemon/fleet_replication.cpp
@@ -1,5 +1,5 @@
-// The part of FleetLinks that carries what the routers read in the platform's store: updates of its prefixes, and
-// snapshots for those that lack something.
+// The part of FleetLinks that replicates the routers' copies of the store: prefix updates, and snapshots for routers
+// whose copy is behind.
 
 #include "godwit/base/hash.h"
 #include "godwit/daemon/fleet_links.h"
@@ -19,13 +19,13 @@
 namespace
 {
 
-// An update that a router passes on to the members of its group.
+// An update that the receiver forwards to the members of its group.
 struct RelayedUpdate
 {
-    std::vector<std::string> members; // Incarnations.
-    std::string origin; // Whose update it is.
-    PrefixState state; // As in the update: who has it all need not read it.
-    std::string update; // As encodeUpdate() makes it.
+    std::vector<std::string> members; // Incarnations of the routers to forward to.
+    std::string origin; // Incarnation of the router that sent the update first.
+    PrefixState state; // As in the update: a receiver that has this state need not decode the update.
+    std::string update; // Encoded by encodeUpdate().
 };
 
 std::string encodeRelayed(const RelayedUpdate &relayed)
@@ -57,7 +57,8 @@
         m_mesh->broadcast({UpdateTopic, body});
         return;
     }
-    // The largest hosts pass on: they have links with all others, and a small one's own requests would wait.
+    // The largest hosts forward the update: they have links to all other routers, while on a small host the forwarding
+    // would delay its own requests.
     const double minCapacity = minLargestClassCapacity(Relay::now());
     std::vector<const Peer *> peers;
     std::size_t large = 0;
@@ -111,7 +112,7 @@
     }
 }
 
-// What waits for the slowest of the peers.
+// Returns the largest send queue of all links.
 std::size_t FleetLinks::maxQueuedBytes() const
 {
     std::size_t maximum = 0;
@@ -143,7 +144,7 @@
     return m_mesh->send(peer, {SnapshotRequestTopic, encodeSnapshotRequest(request)});
 }
 
-// Linked routers that callers are told of, in an order drawn by lot.
+// Linked, responsive routers that are advertised to callers, in random order.
 std::vector<Incarnation> FleetLinks::shuffledPeers()
 {
     std::vector<Incarnation> peers;
@@ -165,7 +166,8 @@
     return !peers.empty() && requestSnapshot(peers.front(), request);
 }
 
-// Of two, so that a slow peer does not count as a full link of this host: the first answer says how late they come.
+// Probes two peers, so that one slow peer isn't mistaken for a saturated link of this host: the first response
+// determines the lag.
 void FleetLinks::compareCopies(const std::vector<SnapshotRequest> &requests)
 {
     constexpr std::size_t probedPeers = 2;
@@ -179,7 +181,7 @@
     for (const Incarnation &peer : peers) {
         for (SnapshotRequest request : requests) {
             request.timestamp = timestamp;
-            // While copies change each answer would else carry all entries.
+            // While copies change, each response would otherwise carry all entries.
             request.stateOnly = true;
             m_mesh->send(peer, {SnapshotRequestTopic, encodeSnapshotRequest(request)});
         }
@@ -194,7 +196,7 @@
     }
     const auto probe = std::find(m_lagProbes.begin(), m_lagProbes.end(), snapshot->timestamp);
     if (probe != m_lagProbes.end()) {
-        // Answers to earlier questions that come after this one are late by their sender, not by this host's link.
+        // Responses to earlier probes that arrive after this one were delayed by their sender, not by this host's link.
         m_lagProbes.erase(m_lagProbes.begin(), std::next(probe));
         recordLag(snapshot->timestamp);
     }
@@ -203,7 +205,7 @@
     }
 }
 
-// A small host passes what is large on to the largest hosts alone, and the others have it from them.
+// A small host sends large snapshots only to the largest hosts; the other routers get them from those.
 bool FleetLinks::maySendSnapshot(const Incarnation &to, std::size_t bytes)
 {
     const TimePoint now = Relay::now();
@@ -229,7 +231,7 @@
     const bool hasItems = snapshot->items.has_value();
     const bool deferred = hasItems && !maySendSnapshot(from, answer.size());
     if (deferred) {
-        // The asker hears that it lacks something, and asks whoever else holds it by then.
+        // The requester learns that its copy is behind, and can ask another router.
         snapshot->items.reset();
         snapshot->deferred = true;
         answer = encodeSnapshot(*snapshot);
@@ -270,7 +272,7 @@
     return responsive == 0 ? 1.0 : static_cast<double>(unreachable) / responsive;
 }
 
-// By rank, so that all agree without a word.
+// By rendezvous hashing, so that all routers agree without coordination.
 std::optional<int> FleetLinks::readerRankOf(const std::string &prefix) const
 {
     const TimePoint now = Relay::now();
@@ -298,7 +300,8 @@
     return row;
 }
 
-// A router that came while nobody could read, or lost all that was told, sees here that others hold more.
+// Compares the copies that a heartbeat lists: a router that started while the store was unreachable, or that lost all
+// updates, detects here that its copy is behind.
 void FleetLinks::onCopyStates(const Incarnation &from, const json &heartbeat)
 {
     const auto row = heartbeat.find("copies");
--- a/godwit/daemon/fleet_token_transfers.cpp
+++ b/godwit/daemon/fleet_token_transfers.cpp
@@ -1,5 +1,5 @@
-// The part of FleetLinks that moves tokens: which router is home to a customer, who asks whom, and what the routers
-// tell each other of what they hold.
+// The part of FleetLinks that moves tokens between routers: which router is the home of a customer, requests for
+// tokens, transfers, and the exchange of what each router holds.
 
 #include "godwit/base/hash.h"
 #include "godwit/daemon/fleet_links.h"
@@ -23,10 +23,10 @@
 
 constexpr const char *HomeHostsKey = "homes";
 
-// More than any size of a request can have.
+// Upper bound on decoded size classes; no request size reaches it.
 constexpr std::size_t MaxSizeClasses = 128;
 
-// [class, tokens a second, class, ...].
+// Encoded as [class, tokens per second, class, ...].
 json encodeSizes(const std::map<SizeClass, double> &rates)
 {
     json row = json::array();
@@ -44,7 +44,7 @@
     });
 }
 
-// Unset unless the row is one of sizesRow().
+// Decodes the result of encodeSizes(); nullopt if malformed.
 std::optional<std::map<SizeClass, double>> decodeSizes(const json &row)
 {
     if (!row.is_array() || row.size() % 2 != 0 || row.size() > 2 * MaxSizeClasses
@@ -105,8 +105,8 @@
     armResponseTimer();
 }
 
-// Asks for the tokens of the next moment's requests: a customer whose callers keep to a host with a slow link would
-// else be refused while its home holds plenty.
+// Requests the tokens that upcoming requests will need. Without the prefetch a customer whose callers use only a host
+// with a slow link would be refused while its home has plenty of tokens.
 void FleetLinks::prefetchTokens()
 {
     const Duration horizon = prefetchTime(m_exchangeTime, m_options.prefetch);
@@ -116,7 +116,8 @@
     }
 }
 
-// A home asks those that still hold some of the budget: homes of before, or ones that another router takes for it.
+// A home reclaims tokens from routers that still hold some: former homes, or routers that another router takes for the
+// home.
 void FleetLinks::reclaimFromHolders(const CustomerId &customer, Tokens needed)
 {
     const TimePoint now = Relay::now();
@@ -134,7 +135,7 @@
             const Tokens part = std::min(lacking, entry->second.spendable);
             m_mesh->send(incarnation, {TokenReclaimTopic, encodeCbor(json::array({customer.value, part, part}))});
             lacking -= part;
-            // Its next beat puts the figure right.
+            // The peer's next heartbeat corrects this estimate.
             entry->second.spendable -= part;
         }
     }
@@ -154,7 +155,7 @@
     });
 }
 
-// The requests that wait for a silent home ask the next one.
+// Excludes homes that did not respond in time, and repeats the waiting requests at the next home.
 void FleetLinks::skipUnresponsiveHomes()
 {
     const TimePoint now = Relay::now();
@@ -200,8 +201,8 @@
     return largest * m_options.advertisedHosts.sameClassRatio;
 }
 
-// Few routers are homes: each writes one mark for all customers that it is home to, however many these are. Large
-// hosts, since the tokens of all requests pass through them.
+// Few routers are homes: each writes one mark for all customers whose home it is, however many these are. Homes are on
+// large hosts, since the tokens of all requests pass through them.
 std::vector<FleetLinks::Peer *> FleetLinks::homeRouters(TimePoint now)
 {
     const double minCapacity = minLargestClassCapacity(now);
@@ -224,8 +225,8 @@
     return hosts;
 }
 
-// By rank, so that all agree without a word, and by address, so that a restart changes nothing. Routers that differ on
-// it for a while cost some writes and no tokens.
+// By rendezvous hashing, so that all routers agree without coordination, and on the address, so that a restart changes
+// nothing. Routers that disagree for a while cost some extra writes but no tokens.
 FleetLinks::Peer *FleetLinks::homeOf(const CustomerId &customer, const std::vector<Peer *> &hosts) const
 {
     const auto rank = [this, &customer](const Peer *peer) {
@@ -238,8 +239,9 @@
     return best == hosts.end() ? nullptr : *best;
 }
 
-// Where a fleet starts at once each router would take itself for the home of all customers, and for a reader, until it
-// has heard of the others.
+// When a whole fleet starts at once, each router would act as the home of all customers and as a reader until it has
+// received heartbeats from the others. So it waits until most listed routers have reported, or the settle time has
+// passed.
 void FleetLinks::checkSettled(TimePoint now)
 {
     if (m_settled || !m_readyAt || now < *m_readyAt + m_options.settleTime) {
@@ -283,7 +285,8 @@
     share.markWriters = std::max(1, std::min(static_cast<int>(hosts.size()), bounded));
 }
 
-// Near the end of a budget what requests have left over would lie idle at each of the routers, and be lost with it.
+// Near the end of a budget, tokens that requests have left over would lie unused at each router, and be lost with it;
+// they are returned to the home.
 void FleetLinks::returnUnusedTokens()
 {
     PrepaidShare &share = m_relay.state().prepaid;
@@ -297,12 +300,12 @@
     }
 }
 
-// What readRow() reads.
+// Encodes this router's holding for applyHolding().
 json FleetLinks::encodeHolding(const CustomerId &customer) const
 {
     const auto &share = m_relay.state().prepaid;
     const TimePoint now = Relay::now();
-    // Sizes matter near the end alone, and there are many customers in a beat.
+    // Sizes matter only near the end of a budget, and a heartbeat covers many customers.
     const bool includeSizes = isNearEnd(share, customer);
     return json::array({headroom(share, customer),
                         unusedGrant(share, customer),
@@ -365,16 +368,16 @@
     request.needed = amounts->tokens[0];
     request.deadline = now + m_options.tokenRequestTimeout;
     const auto transfer = requestTransfer(share, request);
-    // Without tokens it says that the wish has arrived and has to wait.
+    // A transfer of zero tokens confirms that the request has arrived and is waiting.
     sendTransfer(transfer.value_or(TokenTransfer{request.from, request.customer, 0}), amounts->tokens[1]);
     if (!transfer && m_relay.onTokensNeeded) {
         m_relay.onTokensNeeded(request.customer, request.needed);
     }
 }
 
-// A host whose link is choked hears of endpoints that leave, and reaches those that it chooses, seconds late: it would
-// send them requests that they must not get any more. Answers that are late, rather than missing, tell it from a host
-// that is cut off, which still serves what it can reach.
+// On a saturated link a host learns seconds late that an endpoint is leaving, and its requests arrive seconds late: it
+// would send requests to endpoints that must not get any more. Responses that arrive late mark the copies as possibly
+// stale. Missing responses don't: a partitioned host still serves what it can reach.
 void FleetLinks::recordLag(Tokens timestamp)
 {
     if (timestamp == 0) {
@@ -400,7 +403,7 @@
     }
 }
 
-// Counted as gone before it is sent: a message that is lost costs tokens, and none is ever there twice.
+// Tokens are deducted before the transfer is sent: a lost message loses tokens, but none is ever counted twice.
 void FleetLinks::sendTransfer(const TokenTransfer &transfer, Tokens timestamp)
 {
     const auto peer = std::find_if(m_peers.begin(), m_peers.end(), [&transfer](const auto &entry) {
@@ -409,7 +412,7 @@
     const std::string body = encodeCbor(
         json::array({transfer.customer.value, transfer.amount, encodeHolding(transfer.customer), timestamp}));
     if (peer == m_peers.end() || !m_mesh->send(peer->first, {TokenTransferTopic, body})) {
-        // It has not left this process.
+        // The message was not sent, so the tokens are restored.
         receiveTokens(m_relay.state().prepaid, transfer.customer, transfer.amount);
     }
 }
