--- a/godwit/daemon/control.cpp
+++ b/godwit/daemon/control.cpp
@@ -31,7 +31,7 @@
 using asio::ip::tcp;
 
 constexpr auto HostListPeriod = std::chrono::seconds(1);
-// The host list is read less often in a larger fleet, so that its readers together stay below 50 reads a second.
+// The interval grows with the fleet, so that all routers together make fewer than 50 reads per second.
 constexpr auto HostListPeriodPerRouter = std::chrono::milliseconds(20);
 constexpr auto CertificatePeriod = std::chrono::seconds(5);
 constexpr std::size_t MaxLoggedRefusals = 256;
@@ -59,7 +59,7 @@
     return Incarnation{host.value + "." + suffix};
 }
 
-// A listener on port 0 is told to others by the port that it got.
+// Replaces a configured port 0 by the port that the listener was given.
 std::string advertised(const std::string &configured, const tcp::endpoint &actual)
 {
     LastReason reason;
@@ -105,7 +105,7 @@
 
     bool start(LastReason &reason)
     {
-        std::signal(SIGPIPE, SIG_IGN); // A peer that closes early is an error of that write, not of the process.
+        std::signal(SIGPIPE, SIG_IGN); // Writing to a closed connection must fail that write, not end the process.
         HttpPlatformOptions platform;
         platform.addresses = m_settings.platform;
         platform.host = m_settings.host.value;
@@ -179,7 +179,7 @@
             if (!listening) {
                 return false;
             }
-            address = *listening; // The next threads share the port that the first one got.
+            address = *listening; // The other threads share the port assigned to the first one.
         }
         m_callerAddress = advertised(m_settings.callerAdvertise, address);
         return loadCertificates(m_callerFiles, reason, [this](const auto &context) {
@@ -258,7 +258,7 @@
         return true;
     }
 
-    // Starts the decisions and the links to other routers under a new incarnation.
+    // Starts the kernel and the mesh under a new incarnation.
     bool startRouter(LastReason &reason)
     {
         ++m_generation;
@@ -269,7 +269,7 @@
         options.callerAddress = m_callerAddress;
         options.seed = randomSeed();
         options.routing.maxQueued = m_settings.limits.maxQueuedCalls;
-        // The mesh listens before the kernel starts, since the kernel tells its address.
+        // The mesh listens before the kernel starts, since the kernel publishes its address.
         options.peerAddress = m_settings.peerAdvertise;
         m_mesh = makeMesh(options);
         if (!m_mesh->start(reason)) {
@@ -308,7 +308,7 @@
             handle(PeerMessage{from, std::move(envelope.topic), std::move(envelope.body)});
         };
         callbacks.onRefusal = [this](const std::string &address, const Refusal &refusal) {
-            // A refused router dials again and again; the log tells of it once until a link stands.
+            // A refused router keeps reconnecting; each refusal is logged once until a link is established.
             if (m_loggedRefusals.size() >= MaxLoggedRefusals || !m_loggedRefusals.insert(refusal.message).second) {
                 return;
             }
@@ -333,7 +333,7 @@
         handle(PeerLinked{hello.incarnation, hello.host, hello.dataCentre, hello.callerAddress, dialledHere});
     }
 
-    // Called on traffic threads.
+    // Called on traffic threads; forwards to the control thread.
     void postCall(CallEvent event)
     {
         asio::post(m_io, [this, event = std::move(event)]() mutable {
@@ -361,7 +361,7 @@
         m_ready = isReady(m_kernel);
     }
 
-    // Sets the timer for the kernel's next tick.
+    // Arms the timer for the kernel's next tick.
     void schedule()
     {
         const auto wake = nextWake(m_kernel);
@@ -387,7 +387,7 @@
     void performOne(KvCommand &command)
     {
         m_platform->execute(std::move(command), [this, generation = m_generation](const KvReply &reply) {
-            // An earlier incarnation's commands may still be answered; their tags mean nothing to this one.
+            // Commands of an earlier incarnation may still be answered; their tags are invalid now.
             if (generation == m_generation) {
                 handle(reply);
             }
@@ -477,7 +477,7 @@
     void performOne(const IncarnationLost &)
     {
         logEvent(LogLevel::Warning, "incarnation_lost", {{"incarnation", m_kernel.options.self.value}});
-        // The kernel that emitted this is still on the stack.
+        // Deferred, since the kernel that emitted this action is still on the stack.
         asio::post(m_io, [this] {
             m_mesh->stop();
             m_oldMeshes.push_back(std::move(m_mesh));
@@ -504,7 +504,7 @@
         waitForWrites();
     }
 
-    // The decisions are done; the last bytes of answers may still be on their way to callers.
+    // All calls have ended in the kernel, but the last bytes of responses may still be in transit to callers.
     void waitForWrites()
     {
         const bool busy = std::any_of(m_callers.begin(), m_callers.end(), [](const auto &server) {
@@ -674,7 +674,7 @@
     CertificateFiles m_operatorFiles;
     std::unique_ptr<HttpPlatform> m_platform;
     std::unique_ptr<RouterMesh> m_mesh;
-    std::vector<std::unique_ptr<RouterMesh>> m_oldMeshes; // Stopped; their last handlers may still run.
+    std::vector<std::unique_ptr<RouterMesh>> m_oldMeshes; // Stopped meshes whose last handlers may still run.
     std::unique_ptr<AdminApi> m_api;
     std::unique_ptr<AdminServer> m_operators;
     std::unique_ptr<LoadPoller> m_poller;
--- a/godwit/daemon/control.h
+++ b/godwit/daemon/control.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The control thread: runs the kernel on real time and carries out what it decides.
+// The control thread: runs the kernel in real time and executes its actions.
 //
-// Traffic threads post call events to it; platform, routers and operators are reached from its io_context. All state
-// of the kernel lives on this one thread, so no decision needs a lock.
+// Traffic threads post call events to it; platform, routers and operators are handled on its io_context. All kernel
+// state belongs to this thread, so decisions need no locks.
 //
 // Example:
 //   Control control(settings, "bootstrap token's digest");
@@ -22,7 +22,7 @@
 
 struct ControlOptions
 {
-    // SHA-256 of the token that opens a fleet without an owner; empty for none.
+    // SHA-256 of the token that authorizes access to a fleet without a configured owner; empty for none.
     std::string bootstrapDigest;
 };
 
@@ -35,13 +35,13 @@
     // Opens all listeners and starts the traffic threads.
     bool start(LastReason &reason);
 
-    // Runs until a drain has finished or stopNow(). Returns whether everything was finished and given back.
+    // Runs until a drain has finished or timed out. Returns whether all calls were finished and all budgets returned.
     bool run();
 
-    // Starts a drain. Safe on any thread and in a signal handler's continuation.
+    // Starts a drain. Thread-safe; may also be called from the completion handler of a signal.
     void drain();
 
-    // Where the listeners are, once started.
+    // Addresses of the listeners, valid after start().
     std::string callerAddress() const;
     std::string peerAddress() const;
     std::string operatorAddress() const;
--- a/godwit/daemon/event_log.cpp
+++ b/godwit/daemon/event_log.cpp
@@ -42,7 +42,7 @@
     return name;
 }
 
-// Quotes a value that would break the line's form.
+// Quotes a value that contains separators, quotes or line breaks; line breaks become spaces.
 std::string quoteValue(const std::string &value)
 {
     if (!value.empty() && value.find_first_of(" \"=\n\r\t") == std::string::npos) {
--- a/godwit/daemon/event_log.h
+++ b/godwit/daemon/event_log.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Structured log lines for changes of state: one event a line, as key=value pairs.
+// Structured log lines for state changes: one event per line, as key=value pairs.
 //
-// What happens often is counted in metrics instead. Safe on any thread.
+// Frequent events are counted in metrics instead. Thread-safe.
 //
 // Example:
 //   logEvent(LogLevel::Info, "config_in_force", {{"revision", "12"}});
@@ -29,7 +29,8 @@
     std::string value;
 };
 
-// Writes lines from `minimum` on to standard error, each marked with `host`. Call once, before the first event.
+// Configures logging to standard error for events at level `minimum` and above, each with `host`. Must be called once,
+// before the first event.
 void startLog(std::string_view minimum, const std::string &host);
 
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
--- a/godwit/daemon/load_poller.cpp
+++ b/godwit/daemon/load_poller.cpp
@@ -66,7 +66,7 @@
     bool m_stopped = false;
 
 private:
-    // Each worker takes every n-th endpoint, once a period.
+    // With n workers, each polls every n-th endpoint once per period.
     void runWorker(std::size_t index, const asio::yield_context &yield)
     {
         asio::steady_timer timer(m_io);
--- a/godwit/daemon/load_poller.h
+++ b/godwit/daemon/load_poller.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Asks model engines for their load reports, in turn, on the control thread.
+// Polls model engines for their load reports, on the control thread.
 //
 // Example:
 //   LoadPoller poller(io, [&](const EndpointId &id, const LoadReport &report) { ... });
@@ -28,9 +28,9 @@
 
 struct LoadPollerOptions
 {
-    Duration period = std::chrono::milliseconds(500); // Between two reports of one endpoint.
+    Duration period = std::chrono::milliseconds(500); // Interval between two polls of one endpoint.
     Duration timeout = std::chrono::milliseconds(400);
-    int workers = 4; // Requests open at once.
+    int workers = 4; // Maximum number of concurrent polls.
 };
 
 class LoadPoller
--- a/godwit/daemon/main.cpp
+++ b/godwit/daemon/main.cpp
@@ -54,7 +54,7 @@
     std::cerr << "godwitd: " << reason.message << '\n' << errorRemedy(reason.kind) << '\n';
 }
 
-// A router on the users' platform.
+// Runs a router with gateway settings.
 int runGateway(const std::string &text, const std::string &file, bool checkOnly)
 {
     LastReason reason;
--- a/godwit/daemon/tls_contexts.cpp
+++ b/godwit/daemon/tls_contexts.cpp
@@ -14,7 +14,7 @@
 
 CertificateFiles::FileTime CertificateFiles::lastModified() const
 {
-    // A default stamp is no lower bound: the file clock's epoch lies in the future.
+    // A default-constructed file time is no lower bound: the epoch of the file clock lies in the future.
     FileTime latest = FileTime::min();
     for (const auto &file : {m_settings.certificate, m_settings.key, m_settings.ca}) {
         std::error_code error;
--- a/godwit/daemon/tls_contexts.h
+++ b/godwit/daemon/tls_contexts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Server certificates of a listener, loaded from files and loaded again when the files change.
+// Server certificates of a listener, loaded from files and reloaded when the files change.
 //
 // Example:
 //   CertificateFiles files(settings.callerTls);
@@ -29,11 +29,11 @@
         return m_settings.enabled();
     }
 
-    // Returns a context with the files as they are now; null with a reason when they can't be used. A listener then
-    // keeps the context that it has.
+    // Returns a context with the current contents of the files; null with a reason if they can't be used, in which case
+    // a listener keeps its context.
     std::shared_ptr<boost::asio::ssl::context> load(LastReason &reason);
 
-    // Whether a file has changed since the last load().
+    // Whether the latest modification time of the files differs from that at the last load().
     bool changed() const;
 
 private:
