--- a/godwit/daemon/fleet_links_test.cpp
+++ b/godwit/daemon/fleet_links_test.cpp
@@ -1,4 +1,5 @@
-// Links between two routers in one process, each on a loop of its own, so that one can be held up.
+// Links between routers in one process. Each router has its own io_context, so that one can be paused while the others
+// run.
 
 #include "godwit/daemon/fleet_links.h"
 
@@ -63,9 +64,9 @@
         options.own.callerAddress = self.callerAddress;
         options.listenAddress = self.peerAddress;
         options.ownCapacity = self.capacity;
-        // What goes out at once, and next to nothing afterwards.
+        // Only the initial burst, and next to nothing afterwards.
         options.snapshotRate.perSecond = 1;
-        // Hosts of all sizes are listed, and so linked.
+        // Hosts of all sizes are advertised, and therefore linked.
         options.advertisedHosts.targetUtilization = -1;
         return options;
     }
@@ -81,9 +82,9 @@
     Relay relay;
     FleetMember self;
     FleetLinks links;
-    std::size_t itemBytes = 0; // Of the entries in this router's snapshots.
+    std::size_t itemBytes = 0; // Size of the entry in this router's snapshots; 0 for none.
     int snapshots = 0;
-    int snapshotsWithItems = 0; // Of these.
+    int snapshotsWithItems = 0; // Of `snapshots`.
     int updates = 0;
     int requestsReceived = 0;
     int itemRequests = 0;
@@ -136,10 +137,11 @@
 
 } // namespace
 
-TEST_CASE("answers that come late tell a router that it is behind")
+TEST_CASE("late responses mark a router's copies as possibly stale")
 {
-    // A host whose callers fill its link had tokens enough and asked nobody. It took requests 4 s after they were sent,
-    // and passed one on to an endpoint that had left 3 s before.
+    // Guards against a host whose link is saturated by its callers, but which has tokens and therefore sends no token
+    // request that would show the lag. It received requests 4 s late, and forwarded one to an endpoint that had left 3
+    // s before.
     Routers routers({"a", "b"});
     REQUIRE(routers[0].links.liveCount() == 2);
     routers[0].links.compareCopies({{"servers/", 0, 9}});
@@ -155,10 +157,10 @@
     CHECK(routers[0].relay.mayBeStale(Relay::now()));
 }
 
-TEST_CASE("answers that come after the next question still tell a router that it is behind")
+TEST_CASE("responses that arrive after the next probe still mark the copies as possibly stale")
 {
-    // A host whose full link held each answer up past the next question took none for late. It passed requests on to
-    // endpoints that had left, and refused by routes that had changed.
+    // Guards against a host whose saturated link delays every response beyond the next probe: none of them counted as
+    // late, and the host forwarded requests to endpoints that had left and refused others by outdated routes.
     Routers routers({"a", "b"});
     for (int i = 0; i < 3; ++i) {
         routers[0].links.compareCopies({{"servers/", 0, 9}});
@@ -170,9 +172,10 @@
     CHECK(routers[0].relay.mayBeStale(Relay::now()));
 }
 
-TEST_CASE("a peer that is slow to answer makes nobody else behind")
+TEST_CASE("one slow peer does not mark another router's copies as stale")
 {
-    // One host with a full link made each router that asked it refuse all its callers for a second.
+    // Guards against one host with a saturated link making each router that probes it refuse all its callers for a
+    // second.
     Routers routers({"a", "b", "c"});
     routers[0].links.compareCopies({{"servers/", 0, 9}});
     routers.run(std::chrono::milliseconds(600), {&routers[1]});
@@ -181,9 +184,9 @@
     CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
 }
 
-TEST_CASE("an answer that comes after one to a later question makes nobody behind")
+TEST_CASE("a response that arrives after one to a later probe does not mark the copies as stale")
 {
-    // Hosts that had asked two frozen peers refused all their callers once these went on.
+    // Guards against hosts that probed two frozen peers refusing all their callers when these resume.
     Routers routers({"a", "b", "c", "d"});
     const std::vector<const Router *> frozen{&routers[1], &routers[2]};
     const auto probe = [&] {
@@ -201,10 +204,10 @@
     CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
 }
 
-TEST_CASE("a frozen router keeps no update from the others")
+TEST_CASE("a frozen router does not delay updates to the other routers")
 {
-    // Updates of some KB went over a few large hosts. While one of these was frozen its share of the fleet heard of no
-    // change, and of no reading, for two seconds.
+    // Guards against sending updates of a few KB through forwarding routers: while one of these was frozen, its part of
+    // the fleet received no changes and no reports of reads for two seconds.
     Routers routers({"a", "b", "c", "d", "e", "f"});
     PrefixUpdate update;
     update.state.prefix = "servers/";
@@ -221,7 +224,7 @@
     }
 }
 
-TEST_CASE("an update that is too large to be sent to each goes over some of them to all")
+TEST_CASE("an update too large to send to every peer is forwarded and reaches all of them")
 {
     Routers routers({"a", "b", "c", "d", "e", "f"});
     PrefixUpdate update;
@@ -234,11 +237,11 @@
     }
 }
 
-TEST_CASE("routers that have heard of each other agree on readers and addresses")
+TEST_CASE("routers that have exchanged heartbeats agree on readers and addresses")
 {
     Routers routers({"a", "b"});
     CHECK(routers[0].links.callerAddresses().size() == 1);
-    // Both, as two are wanted, and not in the same place.
+    // There are two readers, so both routers are readers, with different ranks.
     routers[0].relay.state().platformInReach = true;
     routers[1].relay.state().platformInReach = true;
     routers.run(std::chrono::milliseconds(600));
@@ -249,9 +252,9 @@
     CHECK(*first != *second);
 }
 
-TEST_CASE("a router that many ask for a large snapshot sends it to a few at a time")
+TEST_CASE("responses with large snapshots are limited by the bandwidth for snapshots")
 {
-    // Guards against a full link, and an old document behind it, at the only host that reaches the store.
+    // Guards against a saturated link, and outdated documents because of it, at the only host that reaches the store.
     Routers routers({"a", "b"});
     Router &requester = routers[0];
     Router &responder = routers[1];
@@ -266,9 +269,10 @@
     CHECK(requester.snapshotsWithItems == 2);
 }
 
-TEST_CASE("a small host sends a large snapshot to the largest hosts alone")
+TEST_CASE("a small host sends large snapshots only to the largest hosts")
 {
-    // Guards against documents that reach the fleet late because a small host's link carries them to its like first.
+    // Guards against documents that reach the fleet late because a small host's link sends them to other small hosts
+    // first.
     Routers routers({"small", "alike", "large"}, {10, 10, 100});
     Router &small = routers[0];
     small.itemBytes = 100UL * 1024;
@@ -282,9 +286,9 @@
     CHECK(routers[2].snapshotsWithItems == 1);
 }
 
-TEST_CASE("near the end of a budget a router tells the others what sizes it is asked for")
+TEST_CASE("near the end of a budget heartbeats carry the demand by request size")
 {
-    // Guards against large requests that take the last tokens at routers that know of no smaller ones.
+    // Guards against large requests taking the last tokens at routers that don't know of smaller requests elsewhere.
     const CustomerId desk{"desk"};
     constexpr Tokens total = 100'000;
     Routers routers({"teller", "listener"});
--- a/godwit/daemon/tls_contexts_test.cpp
+++ b/godwit/daemon/tls_contexts_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Files in a folder of their own that goes away with the test.
+// Files in a temporary directory that is removed with the object.
 class CertificateFolder
 {
 public:
@@ -38,10 +38,10 @@
 
 } // namespace
 
-TEST_CASE("a certificate that is replaced is seen to have changed, once")
+TEST_CASE("a replaced certificate is reported as changed once")
 {
-    // An operator renews a certificate in place. Callers must be shown the new one without a restart, so the change
-    // of the file has to be noticed, and not be reported for ever after.
+    // Guards against a certificate that an operator renews in place being missed, so that callers get the old one until
+    // a restart, and against one change being reported more than once.
     const CertificateFolder folder;
     TlsSettings settings;
     settings.certificate = folder.write("certificate.pem", "not a certificate");
