--- a/godwit/daemon/main.cpp
+++ b/godwit/daemon/main.cpp
@@ -31,9 +31,9 @@
     cxxopts::Options options("godwitd", "One router of a godwitcroft fleet.\n");
     options.add_options()(
         "s,settings", "Settings file (TOML); docs/OPERATING.md lists its keys.", cxxopts::value<std::string>());
-    options.add_options()("c,check-config", "Check the settings file, print what is wrong, and end.");
-    options.add_options()("version", "Print the version and end.");
-    options.add_options()("h,help", "Print this and end.");
+    options.add_options()("c,check-config", "Check the settings file, report errors, and exit.");
+    options.add_options()("version", "Print the version and exit.");
+    options.add_options()("h,help", "Print this help and exit.");
     return options;
 }
 
@@ -41,7 +41,7 @@
 {
     std::ifstream in(file);
     if (!in) {
-        std::cerr << "godwitd: can't read " << file << "; name a readable settings file with --settings\n";
+        std::cerr << "godwitd: can't read " << file << "; pass a readable settings file with --settings\n";
         return std::nullopt;
     }
     std::ostringstream text;
@@ -101,12 +101,13 @@
     try {
         const auto arguments = options.parse(argc, argv);
         if (arguments.count("help") != 0) {
-            std::cout << options.help() << "\nThe token in " << BootstrapVariable
-                      << " opens a fleet whose configuration names no owner yet."
-                      << "\nSIGTERM drains: the router leaves the address answers, finishes its calls and gives its "
-                         "budgets back."
-                      << "\nExit codes: 0 drained, 1 could not start, 2 wrong usage or settings, 3 stopped before all "
-                         "was given back.\n";
+            std::cout
+                << options.help() << "\nThe token in " << BootstrapVariable
+                << " authorizes access to a fleet whose configuration has no owner yet."
+                << "\nOn SIGTERM the router drains: it is no longer advertised, finishes its calls and returns "
+                   "its budgets."
+                << "\nExit codes: 0 drained, 1 failed to start, 2 invalid usage or settings, 3 stopped before all "
+                   "calls had finished and all budgets were returned.\n";
             return ExitOk;
         }
         if (arguments.count("version") != 0) {
@@ -114,7 +115,7 @@
             return ExitOk;
         }
         if (arguments.count("settings") == 0) {
-            std::cerr << "godwitd: name a settings file with --settings FILE; --help tells more\n";
+            std::cerr << "godwitd: a settings file is required: --settings FILE; see --help\n";
             return ExitUsage;
         }
         const auto file = arguments["settings"].as<std::string>();
--- a/godwit/daemon/shared_prefix.h
+++ b/godwit/daemon/shared_prefix.h
@@ -53,12 +53,12 @@
     Duration reorderDelay = std::chrono::milliseconds(100);
     // Delay before catching up when a peer's digest shows unknown changes: in most cases these are already in transit.
     Duration catchUpDelay = std::chrono::milliseconds(1000);
-    // Time-out of a snapshot request to a peer; after it the store is read, or another peer is asked.
+    // Timeout of a snapshot request to a peer; after it the store is read, or another peer is asked.
     Duration snapshotTimeout = std::chrono::milliseconds(300);
     // Upper bound of the retry delay, which doubles with each request to a peer. After that the next heartbeat of a
     // peer starts the sequence again.
     Duration maxRetryDelay = std::chrono::milliseconds(2400);
-    // Initial time-out of a large snapshot; it doubles with each one that does not arrive, up to
+    // Initial timeout of a large snapshot; it doubles with each one that does not arrive, up to
     // `maxLargeSnapshotTimeout`, since the bandwidth and other load of this host's link are unknown.
     Duration largeSnapshotTimeout = std::chrono::seconds(1);
     Duration maxLargeSnapshotTimeout = std::chrono::seconds(8);
