--- a/godwit/daemon/control.cpp
+++ b/godwit/daemon/control.cpp
@@ -31,10 +31,10 @@
 using asio::ip::tcp;
 
 constexpr auto HostListPeriod = std::chrono::seconds(1);
-// The host list is read less often in a larger fleet, so that its readers together stay below 50 reads a second.
+// The interval grows with the fleet, so that all routers together make fewer than 50 reads per second.
 constexpr auto HostListPeriodPerRouter = std::chrono::milliseconds(20);
 constexpr auto CertificatePeriod = std::chrono::seconds(5);
-constexpr std::size_t MaxRefusalsTold = 256;
+constexpr std::size_t MaxLoggedRefusals = 256;
 constexpr auto FinishPoll = std::chrono::milliseconds(20);
 
 Moment currentMoment()
@@ -59,7 +59,7 @@
     return Incarnation{host.value + "." + suffix};
 }
 
-// A listener on port 0 is told to others by the port that it got.
+// Replaces a configured port 0 by the port that the listener was given.
 std::string advertised(const std::string &configured, const tcp::endpoint &actual)
 {
     LastReason reason;
@@ -105,12 +105,12 @@
 
     bool start(LastReason &reason)
     {
-        std::signal(SIGPIPE, SIG_IGN); // A peer that closes early is an error of that write, not of the process.
+        std::signal(SIGPIPE, SIG_IGN); // Writing to a closed connection must fail that write, not end the process.
         HttpPlatformOptions platform;
         platform.addresses = m_settings.platform;
         platform.host = m_settings.host.value;
         m_platform = std::make_unique<HttpPlatform>(m_io, std::move(platform));
-        if (!startCallers(reason) || !startOperators(reason) || !startNode(reason)) {
+        if (!startCallers(reason) || !startOperators(reason) || !startRouter(reason)) {
             return false;
         }
         m_poller = std::make_unique<LoadPoller>(
@@ -179,7 +179,7 @@
             if (!listening) {
                 return false;
             }
-            address = *listening; // The next threads share the port that the first one got.
+            address = *listening; // The other threads share the port assigned to the first one.
         }
         m_callerAddress = advertised(m_settings.callerAdvertise, address);
         return loadCertificates(m_callerFiles, reason, [this](const auto &context) {
@@ -258,8 +258,8 @@
         return true;
     }
 
-    // Starts the decisions and the links to other routers under a new incarnation.
-    bool startNode(LastReason &reason)
+    // Starts the kernel and the mesh under a new incarnation.
+    bool startRouter(LastReason &reason)
     {
         ++m_generation;
         KernelOptions options;
@@ -269,7 +269,7 @@
         options.callerAddress = m_callerAddress;
         options.seed = randomSeed();
         options.routing.maxQueued = m_settings.limits.maxQueuedCalls;
-        // The mesh listens before the kernel starts, since the kernel tells its address.
+        // The mesh listens before the kernel starts, since the kernel publishes its address.
         options.peerAddress = m_settings.peerAdvertise;
         m_mesh = makeMesh(options);
         if (!m_mesh->start(reason)) {
@@ -308,8 +308,8 @@
             handle(PeerMessage{from, std::move(envelope.topic), std::move(envelope.body)});
         };
         callbacks.onRefusal = [this](const std::string &address, const Refusal &refusal) {
-            // A refused router dials again and again; the log tells of it once until a link stands.
-            if (m_refusalsTold.size() >= MaxRefusalsTold || !m_refusalsTold.insert(refusal.message).second) {
+            // A refused router keeps reconnecting; each refusal is logged once until a link is established.
+            if (m_loggedRefusals.size() >= MaxLoggedRefusals || !m_loggedRefusals.insert(refusal.message).second) {
                 return;
             }
             logEvent(
@@ -326,14 +326,14 @@
         const bool dialledHere = std::any_of(links.begin(), links.end(), [&hello](const LinkStatus &link) {
             return link.remote.incarnation == hello.incarnation && link.dialledHere;
         });
-        m_refusalsTold.clear();
+        m_loggedRefusals.clear();
         logEvent(LogLevel::Info,
                  "router_linked",
                  {{"incarnation", hello.incarnation.value}, {"address", hello.peerAddress}});
         handle(PeerLinked{hello.incarnation, hello.host, hello.dataCentre, hello.callerAddress, dialledHere});
     }
 
-    // Called on traffic threads.
+    // Called on traffic threads; forwards to the control thread.
     void postCall(CallEvent event)
     {
         asio::post(m_io, [this, event = std::move(event)]() mutable {
@@ -361,7 +361,7 @@
         m_ready = isReady(m_kernel);
     }
 
-    // Sets the timer for the kernel's next tick.
+    // Arms the timer for the kernel's next tick.
     void schedule()
     {
         const auto wake = nextWake(m_kernel);
@@ -387,7 +387,7 @@
     void performOne(KvCommand &command)
     {
         m_platform->execute(std::move(command), [this, generation = m_generation](const KvReply &reply) {
-            // An earlier incarnation's commands may still be answered; their tags mean nothing to this one.
+            // Commands of an earlier incarnation may still be answered; their tags are invalid now.
             if (generation == m_generation) {
                 handle(reply);
             }
@@ -477,12 +477,12 @@
     void performOne(const IncarnationLost &)
     {
         logEvent(LogLevel::Warning, "incarnation_lost", {{"incarnation", m_kernel.options.self.value}});
-        // The kernel that emitted this is still on the stack.
+        // Deferred, since the kernel that emitted this action is still on the stack.
         asio::post(m_io, [this] {
             m_mesh->stop();
             m_oldMeshes.push_back(std::move(m_mesh));
             LastReason reason;
-            if (!startNode(reason)) {
+            if (!startRouter(reason)) {
                 logEvent(LogLevel::Error, "restart_failed", {{"reason", reason ? reason->message : ""}});
                 m_io.stop();
                 return;
@@ -504,7 +504,7 @@
         waitForWrites();
     }
 
-    // The decisions are done; the last bytes of answers may still be on their way to callers.
+    // All calls have ended in the kernel, but the last bytes of responses may still be in transit to callers.
     void waitForWrites()
     {
         const bool busy = std::any_of(m_callers.begin(), m_callers.end(), [](const auto &server) {
@@ -613,22 +613,25 @@
         const auto &mesh = m_mesh->counters();
         const auto &calls = m_kernel.counters;
         return {
-            {"godwit_ready", "1 when this router takes callers.", m_ready ? 1.0 : 0.0},
+            {"godwit_ready", "1 if this router accepts calls.", m_ready ? 1.0 : 0.0},
             {"godwit_calls_in_flight", "Calls that have not ended.", static_cast<double>(m_kernel.calls.size())},
             {"godwit_calls_queued",
-             "Calls that wait for an endpoint.",
+             "Calls waiting for an endpoint.",
              static_cast<double>(queuedCalls(m_kernel.routing))},
             {"godwit_routers_linked",
-             "Routers that this one has a link to.",
+             "Routers with an open link to this one.",
              static_cast<double>(m_kernel.linked.size())},
             {"godwit_config_revision",
              "Configuration in force here.",
              static_cast<double>(configRevision(m_kernel.config))},
             {"godwit_calls_arrived_total", "Calls read from callers.", static_cast<double>(calls.arrived), true},
             {"godwit_calls_refused_total", "Calls refused.", static_cast<double>(calls.refused), true},
-            {"godwit_calls_aborted_total", "Calls whose answer broke off.", static_cast<double>(calls.aborted), true},
+            {"godwit_calls_aborted_total",
+             "Calls whose response was aborted.",
+             static_cast<double>(calls.aborted),
+             true},
             {"godwit_late_events_total",
-             "Events for calls that had ended.",
+             "Events received for calls that had already ended.",
              static_cast<double>(calls.lateEvents),
              true},
             {"godwit_platform_reads_total",
@@ -639,22 +642,25 @@
              "Writes to the platform's service.",
              static_cast<double>(platform.writes),
              true},
-            {"godwit_platform_watches_total", "Waiting watches opened.", static_cast<double>(platform.watches), true},
+            {"godwit_platform_watches_total", "Long-poll watches opened.", static_cast<double>(platform.watches), true},
             {"godwit_platform_unknown_total",
-             "Platform calls without an answer.",
+             "Platform calls without a response.",
              static_cast<double>(platform.unknown),
              true},
             {"godwit_platform_rejected_total",
              "Platform calls that did not reach it.",
              static_cast<double>(platform.rejected),
              true},
-            {"godwit_router_messages_sent_total", "Messages to other routers.", static_cast<double>(mesh.sent), true},
+            {"godwit_router_messages_sent_total",
+             "Messages sent to other routers.",
+             static_cast<double>(mesh.sent),
+             true},
             {"godwit_router_messages_dropped_total",
              "Messages dropped at a bound.",
              static_cast<double>(mesh.dropped),
              true},
             {"godwit_router_messages_received_total",
-             "Messages of other routers.",
+             "Messages received from other routers.",
              static_cast<double>(mesh.received),
              true},
         };
@@ -674,13 +680,13 @@
     CertificateFiles m_operatorFiles;
     std::unique_ptr<HttpPlatform> m_platform;
     std::unique_ptr<RouterMesh> m_mesh;
-    std::vector<std::unique_ptr<RouterMesh>> m_oldMeshes; // Stopped; their last handlers may still run.
+    std::vector<std::unique_ptr<RouterMesh>> m_oldMeshes; // Stopped meshes whose last handlers may still run.
     std::unique_ptr<AdminApi> m_api;
     std::unique_ptr<AdminServer> m_operators;
     std::unique_ptr<LoadPoller> m_poller;
     std::vector<std::unique_ptr<CallerServer>> m_callers;
     Metrics m_metrics;
-    std::set<std::string> m_refusalsTold;
+    std::set<std::string> m_loggedRefusals;
     std::uint64_t m_generation = 0;
     std::atomic<bool> m_ready{false};
     bool m_watchConfig = false;
--- a/godwit/daemon/fleet_links_test.cpp
+++ b/godwit/daemon/fleet_links_test.cpp
@@ -1,4 +1,5 @@
-// Links between two routers in one process, each on a loop of its own, so that one can be held up.
+// Links between routers in one process. Each router has its own io_context, so that one can be paused while the others
+// run.
 
 #include "godwit/daemon/fleet_links.h"
 
@@ -33,12 +34,12 @@
     {
         relay.state().stage = RelayStage::Serving;
         links.snapshotFor = [this](const SnapshotRequest &request) {
-            ++questions;
-            entriesAsked += request.stateOnly ? 0 : 1;
+            ++requestsReceived;
+            itemRequests += request.stateOnly ? 0 : 1;
             PrefixSnapshot snapshot;
             snapshot.state = {request.prefix, 7, request.digest};
-            if (entryBytes > 0) {
-                snapshot.items = {StoreItem{"op/a", std::string(entryBytes, 'x'), 7, false}};
+            if (itemBytes > 0) {
+                snapshot.items = {StoreItem{"op/a", std::string(itemBytes, 'x'), 7, false}};
             }
             return std::optional(snapshot);
         };
@@ -47,7 +48,7 @@
         };
         links.onSnapshot = [this](const PrefixSnapshot &snapshot) {
             ++snapshots;
-            withEntries += snapshot.items ? 1 : 0;
+            snapshotsWithItems += snapshot.items ? 1 : 0;
         };
         LastReason reason;
         REQUIRE(links.start(reason));
@@ -63,10 +64,10 @@
         options.own.callerAddress = self.callerAddress;
         options.listenAddress = self.peerAddress;
         options.ownCapacity = self.capacity;
-        // What goes out at once, and next to nothing afterwards.
-        options.snapshots.perSecond = 1;
-        // Hosts of all sizes are listed, and so linked.
-        options.entryHosts.targetUtilization = -1;
+        // Only the initial burst, and next to nothing afterwards.
+        options.snapshotRate.perSecond = 1;
+        // Hosts of all sizes are advertised, and therefore linked.
+        options.advertisedHosts.targetUtilization = -1;
         return options;
     }
 
@@ -81,12 +82,12 @@
     Relay relay;
     FleetMember self;
     FleetLinks links;
-    std::size_t entryBytes = 0; // Of the entries in this router's snapshots.
+    std::size_t itemBytes = 0; // Size of the entry in this router's snapshots; 0 for none.
     int snapshots = 0;
-    int withEntries = 0; // Of these.
+    int snapshotsWithItems = 0; // Of `snapshots`.
     int updates = 0;
-    int questions = 0;
-    int entriesAsked = 0;
+    int requestsReceived = 0;
+    int itemRequests = 0;
 };
 
 struct Routers
@@ -110,12 +111,12 @@
         return *all[number];
     }
 
-    void run(std::chrono::milliseconds time, const std::vector<const Router *> &heldUp = {})
+    void run(std::chrono::milliseconds time, const std::vector<const Router *> &paused = {})
     {
         const auto end = std::chrono::steady_clock::now() + time;
         while (std::chrono::steady_clock::now() < end) {
             for (const auto &router : all) {
-                if (std::find(heldUp.begin(), heldUp.end(), router.get()) == heldUp.end()) {
+                if (std::find(paused.begin(), paused.end(), router.get()) == paused.end()) {
                     router->run(std::chrono::milliseconds(4));
                 }
             }
@@ -136,16 +137,17 @@
 
 } // namespace
 
-TEST_CASE("answers that come late tell a router that it is behind")
+TEST_CASE("late responses mark a router's copies as possibly stale")
 {
-    // A host whose callers fill its link had tokens enough and asked nobody. It took requests 4 s after they were sent,
-    // and passed one on to an endpoint that had left 3 s before.
+    // Guards against a host whose link is saturated by its callers, but which has tokens and therefore sends no token
+    // request that would show the lag. It received requests 4 s late, and forwarded one to an endpoint that had left 3
+    // s before.
     Routers routers({"a", "b"});
     REQUIRE(routers[0].links.liveCount() == 2);
     routers[0].links.compareCopies({{"servers/", 0, 9}});
     routers.run(std::chrono::milliseconds(100));
     REQUIRE(routers[0].snapshots == 1);
-    CHECK(routers[1].entriesAsked == 0);
+    CHECK(routers[1].itemRequests == 0);
     CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
     routers[0].links.compareCopies({{"servers/", 0, 9}});
     routers.run(std::chrono::milliseconds(600), {&routers[1]});
@@ -155,10 +157,10 @@
     CHECK(routers[0].relay.mayBeStale(Relay::now()));
 }
 
-TEST_CASE("answers that come after the next question still tell a router that it is behind")
+TEST_CASE("responses that arrive after the next probe still mark the copies as possibly stale")
 {
-    // A host whose full link held each answer up past the next question took none for late. It passed requests on to
-    // endpoints that had left, and refused by routes that had changed.
+    // Guards against a host whose saturated link delays every response beyond the next probe: none of them counted as
+    // late, and the host forwarded requests to endpoints that had left and refused others by outdated routes.
     Routers routers({"a", "b"});
     for (int i = 0; i < 3; ++i) {
         routers[0].links.compareCopies({{"servers/", 0, 9}});
@@ -170,9 +172,10 @@
     CHECK(routers[0].relay.mayBeStale(Relay::now()));
 }
 
-TEST_CASE("a peer that is slow to answer makes nobody else behind")
+TEST_CASE("one slow peer does not mark another router's copies as stale")
 {
-    // One host with a full link made each router that asked it refuse all its callers for a second.
+    // Guards against one host with a saturated link making each router that probes it refuse all its callers for a
+    // second.
     Routers routers({"a", "b", "c"});
     routers[0].links.compareCopies({{"servers/", 0, 9}});
     routers.run(std::chrono::milliseconds(600), {&routers[1]});
@@ -181,30 +184,30 @@
     CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
 }
 
-TEST_CASE("an answer that comes after one to a later question makes nobody behind")
+TEST_CASE("a response that arrives after one to a later probe does not mark the copies as stale")
 {
-    // Hosts that had asked two frozen peers refused all their callers once these went on.
+    // Guards against hosts that probed two frozen peers refusing all their callers when these resume.
     Routers routers({"a", "b", "c", "d"});
     const std::vector<const Router *> frozen{&routers[1], &routers[2]};
-    const auto ask = [&] {
-        const int before = routers[3].questions;
+    const auto probe = [&] {
+        const int before = routers[3].requestsReceived;
         routers[0].links.compareCopies({{"servers/", 0, 9}});
         routers.run(std::chrono::milliseconds(20), frozen);
-        return routers[3].questions > before;
+        return routers[3].requestsReceived > before;
     };
-    while (ask()) {
+    while (probe()) {
         routers.run(std::chrono::milliseconds(20));
     }
-    while (!ask()) { }
+    while (!probe()) { }
     routers.run(std::chrono::milliseconds(600), frozen);
     routers.run(std::chrono::milliseconds(100));
     CHECK_FALSE(routers[0].relay.mayBeStale(Relay::now()));
 }
 
-TEST_CASE("a frozen router keeps no update from the others")
+TEST_CASE("a frozen router does not delay updates to the other routers")
 {
-    // Updates of some KB went over a few large hosts. While one of these was frozen its share of the fleet heard of no
-    // change, and of no reading, for two seconds.
+    // Guards against sending updates of a few KB through forwarding routers: while one of these was frozen, its part of
+    // the fleet received no changes and no reports of reads for two seconds.
     Routers routers({"a", "b", "c", "d", "e", "f"});
     PrefixUpdate update;
     update.state.prefix = "servers/";
@@ -221,7 +224,7 @@
     }
 }
 
-TEST_CASE("an update that is too large to be sent to each goes over some of them to all")
+TEST_CASE("an update too large to send to every peer is forwarded and reaches all of them")
 {
     Routers routers({"a", "b", "c", "d", "e", "f"});
     PrefixUpdate update;
@@ -234,11 +237,11 @@
     }
 }
 
-TEST_CASE("routers that have heard of each other agree on readers and addresses")
+TEST_CASE("routers that have exchanged heartbeats agree on readers and addresses")
 {
     Routers routers({"a", "b"});
     CHECK(routers[0].links.callerAddresses().size() == 1);
-    // Both, as two are wanted, and not in the same place.
+    // There are two readers, so both routers are readers, with different ranks.
     routers[0].relay.state().platformInReach = true;
     routers[1].relay.state().platformInReach = true;
     routers.run(std::chrono::milliseconds(600));
@@ -249,42 +252,43 @@
     CHECK(*first != *second);
 }
 
-TEST_CASE("a router that many ask for a large snapshot sends it to a few at a time")
+TEST_CASE("responses with large snapshots are limited by the bandwidth for snapshots")
 {
-    // Guards against a full link, and an old document behind it, at the only host that reaches the store.
+    // Guards against a saturated link, and outdated documents because of it, at the only host that reaches the store.
     Routers routers({"a", "b"});
-    Router &asker = routers[0];
-    Router &asked = routers[1];
-    asked.entryBytes = 200UL * 1024;
+    Router &requester = routers[0];
+    Router &responder = routers[1];
+    responder.itemBytes = 200UL * 1024;
     for (int i = 0; i < 20; ++i) {
-        CHECK(asker.links.askSnapshot(asked.self.incarnation, {"op/", 0, 9}));
+        CHECK(requester.links.requestSnapshot(responder.self.incarnation, {"op/", 0, 9}));
     }
     routers.runUntil([&] {
-        return asker.snapshots == 20;
+        return requester.snapshots == 20;
     });
-    CHECK(asker.snapshots == 20);
-    CHECK(asker.withEntries == 2);
+    CHECK(requester.snapshots == 20);
+    CHECK(requester.snapshotsWithItems == 2);
 }
 
-TEST_CASE("a small host sends a large snapshot to the largest hosts alone")
+TEST_CASE("a small host sends large snapshots only to the largest hosts")
 {
-    // Guards against documents that reach the fleet late because a small host's link carries them to its like first.
+    // Guards against documents that reach the fleet late because a small host's link sends them to other small hosts
+    // first.
     Routers routers({"small", "alike", "large"}, {10, 10, 100});
     Router &small = routers[0];
-    small.entryBytes = 100UL * 1024;
-    for (std::size_t asker : {1, 2}) {
-        CHECK(routers[asker].links.askSnapshot(small.self.incarnation, {"op/", 0, 9}));
+    small.itemBytes = 100UL * 1024;
+    for (std::size_t requester : {1, 2}) {
+        CHECK(routers[requester].links.requestSnapshot(small.self.incarnation, {"op/", 0, 9}));
         routers.runUntil([&] {
-            return routers[asker].snapshots == 1;
+            return routers[requester].snapshots == 1;
         });
     }
-    CHECK(routers[1].withEntries == 0);
-    CHECK(routers[2].withEntries == 1);
+    CHECK(routers[1].snapshotsWithItems == 0);
+    CHECK(routers[2].snapshotsWithItems == 1);
 }
 
-TEST_CASE("near the end of a budget a router tells the others what sizes it is asked for")
+TEST_CASE("near the end of a budget heartbeats carry the demand by request size")
 {
-    // Guards against large requests that take the last tokens at routers that know of no smaller ones.
+    // Guards against large requests taking the last tokens at routers that don't know of smaller requests elsewhere.
     const CustomerId desk{"desk"};
     constexpr Tokens total = 100'000;
     Routers routers({"teller", "listener"});
@@ -293,23 +297,23 @@
     share.accounts.at(desk).granted = 4000;
     share.ledger.accounts[desk].total = total;
     noteRequest(share, desk, 500, Relay::now());
-    const auto &heard = routers[1].relay.state().prepaid.peerHoldings;
-    const auto told = [&] {
-        const auto found = heard.find(desk);
-        return found == heard.end() || found->second.empty() ? std::nullopt
-                                                             : std::optional(found->second.begin()->second);
+    const auto &received = routers[1].relay.state().prepaid.peerHoldings;
+    const auto latest = [&] {
+        const auto found = received.find(desk);
+        return found == received.end() || found->second.empty() ? std::nullopt
+                                                                : std::optional(found->second.begin()->second);
     };
     routers.runUntil([&] {
-        return told().has_value();
+        return latest().has_value();
     });
-    REQUIRE(told().has_value());
-    CHECK(told()->remaining == total + 4000);
-    CHECK(told()->demandBySize.empty());
+    REQUIRE(latest().has_value());
+    CHECK(latest()->remaining == total + 4000);
+    CHECK(latest()->demandBySize.empty());
 
     share.ledger.accounts[desk].spent = total - 2000;
     routers.runUntil([&] {
-        return !told()->demandBySize.empty();
+        return !latest()->demandBySize.empty();
     });
-    CHECK(told()->remaining == 6000);
-    CHECK(told()->demandBySize.size() == 1);
+    CHECK(latest()->remaining == 6000);
+    CHECK(latest()->demandBySize.size() == 1);
 }
