--- a/godwit/kernel/call_decisions.cpp
+++ b/godwit/kernel/call_decisions.cpp
@@ -271,7 +271,7 @@
     askClaim(kernel, *call, moment, out);
 }
 
-void onAction(Kernel &kernel, const GiveUp &giveUp, const Moment &moment, std::vector<KernelAction> &out)
+void onAction(Kernel &kernel, const FailCall &giveUp, const Moment &moment, std::vector<KernelAction> &out)
 {
     Call *call = findCall(kernel, giveUp.call);
     if (call == nullptr) {
@@ -283,7 +283,7 @@
     refuse(kernel, *call, giveUp.error, moment, out);
 }
 
-void onAction(Kernel &kernel, const TellSuspect &tell, const Moment &, std::vector<KernelAction> &out)
+void onAction(Kernel &kernel, const BroadcastSuspect &tell, const Moment &, std::vector<KernelAction> &out)
 {
     const std::string body = encodeSuspectNotice(tell.notice);
     for (const auto &[incarnation, router] : kernel.linked) {
--- a/godwit/kernel/call_flow.cpp
+++ b/godwit/kernel/call_flow.cpp
@@ -140,7 +140,7 @@
                                  actions.end(),
                                  [id](const RoutingAction &action) {
                                      const auto *dispatch = std::get_if<Dispatch>(&action);
-                                     const auto *giveUp = std::get_if<GiveUp>(&action);
+                                     const auto *giveUp = std::get_if<FailCall>(&action);
                                      return (dispatch != nullptr && dispatch->call == id)
                                          || (giveUp != nullptr && giveUp->call == id);
                                  }),
@@ -277,11 +277,11 @@
     AddressOptions options;
     options.customerShare = allShares > 0 ? customer->share / allShares : 0;
     options.minHosts = kernel.site->limits.addressesPerCustomer;
-    options.pick = kernel.nextAddressPick++;
-    options.keepFor =
+    options.selector = kernel.nextAddressPick++;
+    options.ttl =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double>(kernel.site->limits.addressTtlSeconds));
     const auto answer = chooseAddresses(routerAddresses(kernel), customer->id, options);
-    const nlohmann::json body = {{"addresses", answer.addresses}, {"keep_seconds", toSeconds(answer.keepFor)}};
+    const nlohmann::json body = {{"addresses", answer.addresses}, {"keep_seconds", toSeconds(answer.ttl)}};
     out.emplace_back(CallCommand(AnswerCall{event.call, body.dump()}));
 }
 
--- a/godwit/kernel/kernel.cpp
+++ b/godwit/kernel/kernel.cpp
@@ -328,7 +328,7 @@
 
 void onEvent(Kernel &kernel, const EndpointLeaves &leaves, const Moment &moment, Actions &)
 {
-    endpointLeaving(kernel.routing, leaves.endpoint, moment.now);
+    markEndpointLeaving(kernel.routing, leaves.endpoint, moment.now);
 }
 
 void onEvent(Kernel &kernel, const PatchSubmitted &submitted, const Moment &moment, Actions &out)
--- a/godwit/routing/addresses.cpp
+++ b/godwit/routing/addresses.cpp
@@ -16,10 +16,10 @@
 {
     const RouterAddress *router = nullptr;
     std::uint64_t weight = 0;
-    bool passedOn = false;
+    bool diverted = false;
 };
 
-bool anyStays(const std::vector<RouterAddress> &live)
+bool anyNotLeaving(const std::vector<RouterAddress> &live)
 {
     return std::any_of(live.begin(), live.end(), [](const RouterAddress &router) {
         return !router.leaving;
@@ -38,14 +38,14 @@
 // A host above the bound passes on a part of its callers, chosen by chance, so that its load moves by a little where
 // whole customers would make it jump. Half of the excess at a time: answers are kept for long, and a correction by all
 // of it overshoots and swings.
-bool isPassedOn(const RouterAddress &router, const AddressOptions &options, double bound)
+bool isDiverted(const RouterAddress &router, const AddressOptions &options, double bound)
 {
     constexpr double gain = 0.5;
     if (router.load <= bound) {
         return false;
     }
     const double excess = (router.load - bound) / router.load;
-    const auto hash = rendezvousWeight(router.host.value, std::to_string(options.pick));
+    const auto hash = rendezvousWeight(router.host.value, std::to_string(options.selector));
     return static_cast<double>(hash) / static_cast<double>(std::numeric_limits<std::uint64_t>::max()) < gain * excess;
 }
 
@@ -54,7 +54,7 @@
                                         const AddressOptions &options)
 {
     std::vector<Candidate> candidates;
-    const bool skipLeaving = anyStays(live);
+    const bool skipLeaving = anyNotLeaving(live);
     for (const auto &router : live) {
         if (!skipLeaving || !router.leaving) {
             candidates.push_back({&router, rendezvousWeight(customer.value, router.host.value), false});
@@ -65,16 +65,16 @@
     }
     const double bound = meanLoad(candidates) * options.loadBound;
     for (auto &candidate : candidates) {
-        candidate.passedOn = isPassedOn(*candidate.router, options, bound);
+        candidate.diverted = isDiverted(*candidate.router, options, bound);
     }
     std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &b) {
-        return a.passedOn != b.passedOn ? b.passedOn : a.weight > b.weight;
+        return a.diverted != b.diverted ? b.diverted : a.weight > b.weight;
     });
     return candidates;
 }
 
 // Hosts over which the customer's callers are spread.
-std::size_t activeHosts(std::size_t hosts, const AddressOptions &options)
+std::size_t activeHostCount(std::size_t hosts, const AddressOptions &options)
 {
     const double wanted = std::ceil(options.customerShare * static_cast<double>(hosts) * options.spread);
     return static_cast<std::size_t>(std::clamp(wanted, 1.0, static_cast<double>(hosts)));
@@ -102,17 +102,17 @@
                               const AddressOptions &options)
 {
     AddressAnswer answer;
-    answer.keepFor = options.keepFor;
+    answer.ttl = options.ttl;
     auto candidates = rankedCandidates(live, customer, options);
     if (candidates.empty()) {
         return answer;
     }
-    const auto active = activeHosts(candidates.size(), options);
+    const auto active = activeHostCount(candidates.size(), options);
     orderFallbacks(candidates, active);
     const auto least = static_cast<std::size_t>(std::max(options.minHosts, 1));
     candidates.resize(std::min(candidates.size(), std::max(active, least)));
     const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(active);
-    std::rotate(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(options.pick % active), end);
+    std::rotate(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(options.selector % active), end);
     std::stable_partition(candidates.begin(), end, [&](const Candidate &candidate) {
         return candidate.router->dataCentre == options.callerDataCentre;
     });
--- a/godwit/routing/addresses.h
+++ b/godwit/routing/addresses.h
@@ -44,8 +44,8 @@
     // The caller's data centre, when it is known; its hosts come first in the answer.
     DataCentreId callerDataCentre;
     // Differs from answer to answer, such as a random number: spreads a customer's callers over its hosts.
-    std::uint64_t pick = 0;
-    Duration keepFor = std::chrono::seconds(30);
+    std::uint64_t selector = 0;
+    Duration ttl = std::chrono::seconds(30);
 };
 
 struct AddressAnswer
@@ -53,7 +53,7 @@
     // In the order in which the caller should try them. Empty when no router is live.
     std::vector<std::string> addresses;
     // When the caller should ask again.
-    Duration keepFor{};
+    Duration ttl{};
 };
 
 // Chooses among the `live` routers for a caller of `customer`. Leaving hosts are given only when no other is live.
--- a/godwit/routing/addresses_test.cpp
+++ b/godwit/routing/addresses_test.cpp
@@ -34,7 +34,7 @@
 {
     AddressOptions options;
     options.customerShare = share;
-    options.pick = pick;
+    options.selector = pick;
     return options;
 }
 
@@ -48,7 +48,7 @@
         for (std::uint64_t pick = 0; pick < 20; ++pick) {
             const auto answer = chooseAddresses(routers, customer(number), optionsFor(0.01, pick));
             REQUIRE(answer.addresses.size() == 2);
-            CHECK(answer.keepFor == std::chrono::seconds(30));
+            CHECK(answer.ttl == std::chrono::seconds(30));
             first.insert(answer.addresses.front());
             const auto dataCentreOf = [&](const std::string &address) {
                 return std::find_if(routers.begin(),
@@ -79,17 +79,17 @@
     const auto routers = makeRouters(8);
     auto fewer = routers;
     fewer.erase(fewer.begin() + 3);
-    std::set<std::string> heirs;
+    std::set<std::string> newHosts;
     for (int number = 0; number < 400; ++number) {
         const auto before = chooseAddresses(routers, customer(number), optionsFor(0.001)).addresses.front();
         const auto after = chooseAddresses(fewer, customer(number), optionsFor(0.001)).addresses.front();
         if (before == routers[3].address) {
-            heirs.insert(after);
+            newHosts.insert(after);
         } else {
             CHECK(before == after);
         }
     }
-    CHECK(heirs.size() >= 5);
+    CHECK(newHosts.size() >= 5);
 }
 
 TEST_CASE("leaving hosts are not given while others are live")
--- a/godwit/routing/endpoint_choice.cpp
+++ b/godwit/routing/endpoint_choice.cpp
@@ -12,14 +12,14 @@
 {
 
 // A cache that is nearly full makes the engine stop requests to make room.
-constexpr double CrowdedCache = 0.92;
-constexpr double CrowdedCacheSeconds = 2.0;
+constexpr double KvPressureThreshold = 0.92;
+constexpr double KvPressureMaxPenaltySeconds = 2.0;
 // Without any finished call a slot is taken to be held for this long.
-constexpr double PresumedHoldSeconds = 1.0;
+constexpr double DefaultSlotSeconds = 1.0;
 
 struct Estimate
 {
-    double missTokens = 0;
+    double uncachedTokens = 0;
     // Expected seconds to the first token.
     double seconds = 0;
     // What is compared: the seconds and the penalties.
@@ -35,34 +35,34 @@
     TimePoint now;
 };
 
-double missAt(const ChoiceContext &context, const RoutedEndpoint &endpoint)
+double uncachedTokensAt(const ChoiceContext &context, const RoutedEndpoint &endpoint)
 {
     const auto &pending = context.call.pending;
     const auto prompt = static_cast<double>(pending.promptTokens);
-    if (!context.matches || endpoint.slot >= MaxTrackedEndpoints) {
+    if (!context.matches || endpoint.indexInRoute >= MaxTrackedEndpoints) {
         return prompt;
     }
-    const double held = context.matches->blocks[endpoint.slot];
+    const double held = context.matches->blocks[endpoint.indexInRoute];
     const auto blocks = static_cast<double>(pending.prefixHashes.size());
-    return prompt * (1 - endpoint.cacheTrust * held / blocks);
+    return prompt * (1 - endpoint.cacheConfidence * held / blocks);
 }
 
-double holdSeconds(const RoutedRoute &route)
+double slotSeconds(const RoutedRoute &route)
 {
-    return route.holdSeconds > 0 ? route.holdSeconds : PresumedHoldSeconds;
+    return route.slotSeconds > 0 ? route.slotSeconds : DefaultSlotSeconds;
 }
 
 // The wait for a free slot, when all are taken.
 double slotWait(const ChoiceContext &context, const RoutedEndpoint &endpoint, double load)
 {
     const double slots = std::max(1, endpoint.spec.slots);
-    return std::max(0.0, load + 1 - slots) * holdSeconds(context.route) / slots;
+    return std::max(0.0, load + 1 - slots) * slotSeconds(context.route) / slots;
 }
 
 double engineSeconds(const ChoiceContext &context, const RoutedEndpoint &endpoint, double load, double miss)
 {
     const auto &options = context.state.options;
-    const double ahead = endpoint.pendingPrefill + endpoint.othersQueued * context.route.missTokens;
+    const double ahead = endpoint.pendingPrefill + endpoint.otherRoutersQueued * context.route.uncachedTokens;
     const double prefill = (ahead + miss) / options.prefillTokensPerSecond;
     return prefill + slotWait(context, endpoint, load) + load * toSeconds(options.costPerRunningCall);
 }
@@ -70,7 +70,7 @@
 double serviceSeconds(const ChoiceContext &context, const RoutedEndpoint &endpoint, double load)
 {
     const double slots = std::max(1, endpoint.spec.slots);
-    const double hold = holdSeconds(context.route);
+    const double hold = slotSeconds(context.route);
     return hold + hold * load / slots + slotWait(context, endpoint, load);
 }
 
@@ -79,8 +79,8 @@
     const auto &options = context.state.options;
     Estimate estimate;
     if (endpoint.spec.modelEngine) {
-        estimate.missTokens = missAt(context, endpoint);
-        estimate.seconds = engineSeconds(context, endpoint, load, estimate.missTokens);
+        estimate.uncachedTokens = uncachedTokensAt(context, endpoint);
+        estimate.seconds = engineSeconds(context, endpoint, load, estimate.uncachedTokens);
     } else {
         estimate.seconds = serviceSeconds(context, endpoint, load);
     }
@@ -88,8 +88,9 @@
     if (endpoint.spec.dataCentre != options.dataCentre) {
         estimate.cost += toSeconds(options.remotePenalty);
     }
-    if (endpoint.kvUsed > CrowdedCache) {
-        estimate.cost += (endpoint.kvUsed - CrowdedCache) * CrowdedCacheSeconds / (1 - CrowdedCache);
+    if (endpoint.kvUsed > KvPressureThreshold) {
+        estimate.cost +=
+            (endpoint.kvUsed - KvPressureThreshold) * KvPressureMaxPenaltySeconds / (1 - KvPressureThreshold);
     }
     // A call that can't be repeated has an unknown outcome when the suspect beside it takes the endpoint down.
     if (endpoint.suspectsInFlight > 0 && !context.call.pending.repeatable) {
@@ -98,76 +99,76 @@
     return estimate;
 }
 
-bool isAvoided(const RoutedCall &call, std::uint32_t index)
+bool hasFailedCall(const RoutedCall &call, std::uint32_t index)
 {
-    return std::find(call.avoid.begin(), call.avoid.end(), index) != call.avoid.end();
+    return std::find(call.failedEndpoints.begin(), call.failedEndpoints.end(), index) != call.failedEndpoints.end();
 }
 
 // Whether an endpoint's room counts. A suspect's own endpoint takes it although it is full: it is one call.
-enum class Room {
-    Needed,
-    Ignored,
+enum class CapacityCheck {
+    Required,
+    Skipped,
 };
 
-struct Pass
+struct SearchResult
 {
     Choice choice;
     double cost = std::numeric_limits<double>::max();
-    bool sawOpen = false;
+    bool sawReady = false;
 };
 
-void considerRest(Choice &choice, TimePoint until)
+void considerRetryTime(Choice &choice, TimePoint until)
 {
     choice.retryAt = choice.retryAt ? std::min(*choice.retryAt, until) : until;
 }
 
-void consider(const ChoiceContext &context, std::uint32_t index, Room room, Pass &pass)
+void consider(const ChoiceContext &context, std::uint32_t index, CapacityCheck room, SearchResult &result)
 {
     const auto &endpoint = context.state.endpoints[index];
     switch (availabilityOf(context.state, endpoint, context.now)) {
-    case Availability::Closed:
+    case Availability::Unavailable:
         return;
-    case Availability::Resting:
+    case Availability::Paused:
         // One that is being tried by a single call has no such time: the call's end tells.
-        if (restsUntil(endpoint) > context.now) {
-            considerRest(pass.choice, restsUntil(endpoint));
+        if (availableAt(endpoint) > context.now) {
+            considerRetryTime(result.choice, availableAt(endpoint));
         }
         return;
     case Availability::Ready:
         break;
     }
-    pass.sawOpen = true;
+    result.sawReady = true;
     const double load = estimatedLoad(context.state, endpoint, context.now);
-    if (room == Room::Needed && isFull(context.state, endpoint, context.now)) {
+    if (room == CapacityCheck::Required && isFull(context.state, endpoint, context.now)) {
         return;
     }
     const auto estimate = estimateAt(context, endpoint, load);
-    if (estimate.cost < pass.cost) {
-        pass.cost = estimate.cost;
-        pass.choice.endpoint = index;
-        pass.choice.missTokens = estimate.missTokens;
-        pass.choice.expectedSeconds = estimate.seconds;
+    if (estimate.cost < result.cost) {
+        result.cost = estimate.cost;
+        result.choice.endpoint = index;
+        result.choice.uncachedTokens = estimate.uncachedTokens;
+        result.choice.expectedSeconds = estimate.seconds;
     }
 }
 
 enum class Scope {
-    Fresh, // All endpoints that did not fail the call.
+    ExcludeFailed, // All endpoints that did not fail the call.
     All,
 };
 
-Pass searchRoute(const ChoiceContext &context, Scope scope)
+SearchResult searchRoute(const ChoiceContext &context, Scope scope)
 {
-    Pass pass;
+    SearchResult result;
     for (const auto index : context.route.endpoints) {
-        if (index != NoEndpointIndex && (scope == Scope::All || !isAvoided(context.call, index))) {
-            consider(context, index, Room::Needed, pass);
+        if (index != NoEndpointIndex && (scope == Scope::All || !hasFailedCall(context.call, index))) {
+            consider(context, index, CapacityCheck::Required, result);
         }
     }
-    return pass;
+    return result;
 }
 
 // The endpoints at which a suspect may be tried, in an order that all routers share.
-std::vector<std::uint32_t> candidatesFor(const RoutingState &state, const RoutedCall &call, TimePoint now)
+std::vector<std::uint32_t> trialCandidates(const RoutingState &state, const RoutedCall &call, TimePoint now)
 {
     std::vector<std::uint32_t> candidates;
     for (const auto index : state.routes[call.route].endpoints) {
@@ -175,7 +176,7 @@
             continue;
         }
         const auto &endpoint = state.endpoints[index];
-        const bool open = availabilityOf(state, endpoint, now) != Availability::Closed;
+        const bool open = availabilityOf(state, endpoint, now) != Availability::Unavailable;
         const auto &spec = endpoint.spec;
         if (open && !wasInFlightAtDeathOf(state.suspects, call.pending.fingerprint, processOf(spec), spec.host)) {
             candidates.push_back(index);
@@ -200,7 +201,7 @@
     const auto suspects = death ? death->fingerprints.size() : 0;
     const auto rank = suspectRank(state.suspects, fingerprint);
     std::vector<std::uint32_t> order = {candidates[rank % candidates.size()]};
-    const bool waitedLong = now >= call.heldUntil + state.options.suspectPatience;
+    const bool waitedLong = now >= call.quarantinedUntil + state.options.suspectIsolationTimeout;
     const auto firstSpare = waitedLong ? 0 : std::min(suspects, candidates.size());
     const auto spares = candidates.size() - firstSpare;
     for (std::size_t i = 0; i < spares; ++i) {
@@ -220,9 +221,9 @@
         matchPrefixes(route.prefixes, call.pending.prefixHashes, matches);
     }
     const ChoiceContext context{state, route, call, hasPrefix ? &matches : nullptr, now};
-    auto pass = searchRoute(context, Scope::Fresh);
-    if (pass.choice.endpoint || pass.sawOpen || call.avoid.empty()) {
-        return pass.choice;
+    auto result = searchRoute(context, Scope::ExcludeFailed);
+    if (result.choice.endpoint || result.sawReady || call.failedEndpoints.empty()) {
+        return result.choice;
     }
     // Only endpoints that failed it before are left; their breakers and pauses say when to try again.
     return searchRoute(context, Scope::All).choice;
@@ -230,7 +231,7 @@
 
 Choice chooseForSuspect(RoutingState &state, const RoutedCall &call, TimePoint now)
 {
-    const auto candidates = candidatesFor(state, call, now);
+    const auto candidates = trialCandidates(state, call, now);
     if (candidates.empty()) {
         return chooseEndpoint(state, call, now);
     }
@@ -241,28 +242,29 @@
         if (state.endpoints[index].suspectsInFlight > 0) {
             continue;
         }
-        Pass pass;
-        consider(context, index, index == order.front() ? Room::Ignored : Room::Needed, pass);
-        if (pass.choice.endpoint) {
-            return pass.choice;
+        SearchResult result;
+        consider(context, index, index == order.front() ? CapacityCheck::Skipped : CapacityCheck::Required, result);
+        if (result.choice.endpoint) {
+            return result.choice;
         }
-        if (pass.choice.retryAt) {
-            considerRest(none, *pass.choice.retryAt);
+        if (result.choice.retryAt) {
+            considerRetryTime(none, *result.choice.retryAt);
         }
     }
     return none;
 }
 
-bool hasOpenEndpoint(const RoutingState &state, const RoutedRoute &route, TimePoint now)
+bool hasUsableEndpoint(const RoutingState &state, const RoutedRoute &route, TimePoint now)
 {
     return std::any_of(route.endpoints.begin(), route.endpoints.end(), [&](std::uint32_t index) {
-        return index != NoEndpointIndex && availabilityOf(state, state.endpoints[index], now) != Availability::Closed;
+        return index != NoEndpointIndex
+            && availabilityOf(state, state.endpoints[index], now) != Availability::Unavailable;
     });
 }
 
-std::size_t suspectCandidates(const RoutingState &state, const RoutedCall &call, TimePoint now)
+std::size_t suspectCandidateCount(const RoutingState &state, const RoutedCall &call, TimePoint now)
 {
-    return candidatesFor(state, call, now).size();
+    return trialCandidates(state, call, now).size();
 }
 
 } // namespace Godwit::internal
--- a/godwit/routing/endpoint_choice.h
+++ b/godwit/routing/endpoint_choice.h
@@ -20,7 +20,7 @@
 {
     std::optional<std::uint32_t> endpoint;
     // Prompt tokens that the endpoint has to process, and expected seconds to the first token there.
-    double missTokens = 0;
+    double uncachedTokens = 0;
     double expectedSeconds = 0;
     // Without an endpoint: when one that rests comes back, if any does.
     std::optional<TimePoint> retryAt;
@@ -34,9 +34,9 @@
 Choice chooseForSuspect(RoutingState &state, const RoutedCall &call, TimePoint now);
 
 // Whether some endpoint of the route takes new calls now or after a rest.
-bool hasOpenEndpoint(const RoutingState &state, const RoutedRoute &route, TimePoint now);
+bool hasUsableEndpoint(const RoutingState &state, const RoutedRoute &route, TimePoint now);
 
 // How many endpoints a suspect may be tried at.
-std::size_t suspectCandidates(const RoutingState &state, const RoutedCall &call, TimePoint now);
+std::size_t suspectCandidateCount(const RoutingState &state, const RoutedCall &call, TimePoint now);
 
 } // namespace Godwit::internal
--- a/godwit/routing/endpoint_load.cpp
+++ b/godwit/routing/endpoint_load.cpp
@@ -9,17 +9,17 @@
 {
 
 // Differences below this are noise of the network, not slowness.
-constexpr double SlownessGrainSeconds = 0.02;
+constexpr double SlownessNoiseSeconds = 0.02;
 constexpr double SlownessGain = 0.2;
 constexpr double MaxSlowness = 50;
 constexpr double MinSlowness = 0.1;
 
 // An older report alone does not bound the own calls any more.
-constexpr Duration ReportLife = std::chrono::seconds(5);
+constexpr Duration MaxReportAge = std::chrono::seconds(5);
 // How far above the mean the own calls may rise where the others' are not known.
-constexpr double BoundWithoutReport = 1.25;
+constexpr double MaxRatioToMean = 1.25;
 
-double fadeOver(Duration age, Duration halfLife)
+double decayFactor(Duration age, Duration halfLife)
 {
     return std::exp2(-toSeconds(std::max(age, Duration::zero())) / toSeconds(halfLife));
 }
@@ -29,18 +29,18 @@
     return static_cast<int>(endpoint.inFlight.size());
 }
 
-void noteInFlight(RoutedEndpoint &endpoint, TimePoint now)
+void recordInFlight(RoutedEndpoint &endpoint, TimePoint now)
 {
     endpoint.history[endpoint.historyNext] = {now, ownInFlight(endpoint)};
-    endpoint.historyNext = (endpoint.historyNext + 1) % InFlightHistory;
+    endpoint.historyNext = (endpoint.historyNext + 1) % InFlightHistorySize;
 }
 
 // The own calls in flight at `time`; at a time before the history begins, the oldest figure that is known.
 int ownInFlightAt(const RoutedEndpoint &endpoint, TimePoint time)
 {
     int oldest = 0;
-    for (std::size_t i = 1; i <= InFlightHistory; ++i) {
-        const auto &change = endpoint.history[(endpoint.historyNext + InFlightHistory - i) % InFlightHistory];
+    for (std::size_t i = 1; i <= InFlightHistorySize; ++i) {
+        const auto &change = endpoint.history[(endpoint.historyNext + InFlightHistorySize - i) % InFlightHistorySize];
         if (change.at == TimePoint{}) {
             return 0;
         }
@@ -55,54 +55,54 @@
 // Calls that the endpoint is given at most: its slots and a few that wait for the next free one.
 double callLimit(const RoutingState &state, const RoutedEndpoint &endpoint)
 {
-    return endpoint.spec.slots * (1 + state.options.queueAhead);
+    return endpoint.spec.slots * (1 + state.options.queueAheadFraction);
 }
 
 // Blends what the last report said of the others' load with what is presumed without it: the older the report, the less
 // it tells of its endpoint.
-double fadeTo(double presumed, const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
+double blendWithReport(double presumed, const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
 {
-    const double kept = fadeOver(now - endpoint.reportTakenAt, state.options.reportHalfLife);
-    return presumed + (endpoint.othersLoad - presumed) * kept;
+    const double kept = decayFactor(now - endpoint.reportTakenAt, state.options.reportHalfLife);
+    return presumed + (endpoint.otherRoutersLoad - presumed) * kept;
 }
 
 // What the reports of all endpoints say together stays true for longer than what one says.
 double meanOthersLoad(const RoutedRoute &route)
 {
-    return route.othersLoad / std::max(1, route.reporting);
+    return route.otherRoutersLoad / std::max(1, route.reporting);
 }
 
 // The other routers' load, to bound the own calls.
-double othersNow(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
+double othersLoadForLimit(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
 {
-    return fadeTo(meanOthersLoad(state.routes[endpoint.route]), state, endpoint, now);
+    return blendWithReport(meanOthersLoad(state.routes[endpoint.route]), state, endpoint, now);
 }
 
 // The other routers' load, to choose by. Where it is not known, they are presumed to have crowded the same endpoints as
 // this router, drawn by the same cached prompts.
-double othersLikeOwn(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
+double othersLoadForChoice(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
 {
     const auto &route = state.routes[endpoint.route];
     const double ownMean = static_cast<double>(route.inFlight) / std::max(1, route.reporting);
-    const double likeOwn = (state.routers - 1) * (ownInFlight(endpoint) - ownMean);
+    const double likeOwn = (state.routerCount - 1) * (ownInFlight(endpoint) - ownMean);
     const double presumed = std::max(0.0, meanOthersLoad(route) + likeOwn);
-    return fadeTo(presumed, state, endpoint, now);
+    return blendWithReport(presumed, state, endpoint, now);
 }
 
 // All routers see the same late report. If each filled the room that it shows, the endpoint would get that many times
 // over and be out of use until the next report but one. So each takes its part, rounded by chance, or what is left
 // beyond a reserve for the others; it always has an equal part of the whole, and gives way when the endpoint has more
 // than it can hold.
-int shareRoom(RoutingState &state, const RoutedEndpoint &endpoint, double total, int own)
+int computeOwnLimit(RoutingState &state, const RoutedEndpoint &endpoint, double total, int own)
 {
     const double limit = callLimit(state, endpoint);
-    const double routers = state.routers;
-    const int equalPart = static_cast<int>(limit / routers + endpoint.partRounding);
+    const double routers = state.routerCount;
+    const int equalPart = static_cast<int>(limit / routers + endpoint.equalPartRounding);
     const double room = limit - total;
     if (room < 0) {
         return std::max(equalPart, static_cast<int>(own * limit / total));
     }
-    const double reserve = endpoint.spec.slots * state.options.roomForOthers;
+    const double reserve = endpoint.spec.slots * state.options.slotReserveFraction;
     const double part = std::max(room / routers + nextRandom(state), room - reserve);
     return std::max(equalPart, own + static_cast<int>(part));
 }
@@ -113,17 +113,17 @@
 {
     const auto &options = state.options;
     // The host list shows a leaving endpoint as live for seconds. New calls would be cut when it stops.
-    const bool told = endpoint.leavingTold && now < endpoint.leavingToldAt + options.leavingMemory;
+    const bool told = endpoint.leavingNotified && now < endpoint.leavingNotifiedAt + options.leavingNoticeTtl;
     const bool leaving = (endpoint.spec.leaving || told) && !options.faults.ignoreLeaving;
     if (!endpoint.listed || leaving) {
-        return Availability::Closed;
+        return Availability::Unavailable;
     }
     if (now < endpoint.pausedUntil) {
-        return Availability::Resting;
+        return Availability::Paused;
     }
     if (endpoint.breakerOpen && !options.faults.noBreaker) {
         const bool probing = !endpoint.inFlight.empty();
-        return now < endpoint.breakerUntil || probing ? Availability::Resting : Availability::Ready;
+        return now < endpoint.breakerUntil || probing ? Availability::Paused : Availability::Ready;
     }
     return Availability::Ready;
 }
@@ -133,7 +133,7 @@
     return spec.process.value.empty() ? spec.id : spec.process;
 }
 
-TimePoint restsUntil(const RoutedEndpoint &endpoint)
+TimePoint availableAt(const RoutedEndpoint &endpoint)
 {
     return endpoint.breakerOpen ? std::max(endpoint.pausedUntil, endpoint.breakerUntil) : endpoint.pausedUntil;
 }
@@ -141,13 +141,13 @@
 double estimatedLoad(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
 {
     const double own = ownInFlight(endpoint);
-    return endpoint.reported ? own + othersLikeOwn(state, endpoint, now) : own;
+    return endpoint.reported ? own + othersLoadForChoice(state, endpoint, now) : own;
 }
 
 double nextRandom(RoutingState &state)
 {
     // xorshift64*: enough to keep routers from choosing in step.
-    auto &x = state.random;
+    auto &x = state.randomState;
     x ^= x >> 12;
     x ^= x << 25;
     x ^= x >> 27;
@@ -161,26 +161,26 @@
     if (!endpoint.reported) {
         return own >= limit;
     }
-    if (now - endpoint.reportTakenAt < ReportLife) {
+    if (now - endpoint.reportTakenAt < MaxReportAge) {
         return own >= endpoint.ownLimit;
     }
     // The others' calls at this endpoint are not known any more. They are drawn to it as the own ones are, so those are
     // kept near their mean over all endpoints.
     const auto &route = state.routes[endpoint.route];
     const double mean = static_cast<double>(route.inFlight) / std::max(1, route.reporting);
-    const bool aboveMean = own >= mean * BoundWithoutReport + 1;
-    return aboveMean || (own >= endpoint.ownLimit && own + othersNow(state, endpoint, now) >= limit);
+    const bool aboveMean = own >= mean * MaxRatioToMean + 1;
+    return aboveMean || (own >= endpoint.ownLimit && own + othersLoadForLimit(state, endpoint, now) >= limit);
 }
 
-void noteDispatch(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now)
+void recordDispatch(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now)
 {
     endpoint.inFlight.push_back(call.pending.call);
-    endpoint.pendingPrefill += call.missTokens;
+    endpoint.pendingPrefill += call.uncachedTokens;
     endpoint.suspectsInFlight += call.suspect ? 1 : 0;
-    noteInFlight(endpoint, now);
+    recordInFlight(endpoint, now);
 }
 
-void noteRelease(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now)
+void recordRelease(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now)
 {
     auto &calls = endpoint.inFlight;
     const auto place = std::find(calls.begin(), calls.end(), call.pending.call);
@@ -189,17 +189,17 @@
         calls.pop_back();
     }
     if (!call.firstToken) {
-        endpoint.pendingPrefill -= call.missTokens;
+        endpoint.pendingPrefill -= call.uncachedTokens;
     }
     if (calls.empty()) {
         // Also keeps rounding errors from adding up.
         endpoint.pendingPrefill = 0;
     }
     endpoint.suspectsInFlight -= call.suspect ? 1 : 0;
-    noteInFlight(endpoint, now);
+    recordInFlight(endpoint, now);
 }
 
-void noteReport(RoutingState &state, RoutedEndpoint &endpoint, const LoadReport &report, TimePoint now)
+void recordLoadReport(RoutingState &state, RoutedEndpoint &endpoint, const LoadReport &report, TimePoint now)
 {
     const auto takenAt = now - report.age;
     if (endpoint.reported && takenAt < endpoint.reportTakenAt) {
@@ -210,32 +210,32 @@
     const double others = std::max(0.0, total - own);
     auto &route = state.routes[endpoint.route];
     route.reporting += endpoint.reported ? 0 : 1;
-    route.othersLoad += others - endpoint.othersLoad;
+    route.otherRoutersLoad += others - endpoint.otherRoutersLoad;
     endpoint.reported = true;
     endpoint.reportTakenAt = takenAt;
-    endpoint.othersLoad = others;
-    endpoint.ownLimit = shareRoom(state, endpoint, own + othersNow(state, endpoint, now), own);
-    endpoint.othersQueued = total > 0 ? report.queued * others / total : 0;
+    endpoint.otherRoutersLoad = others;
+    endpoint.ownLimit = computeOwnLimit(state, endpoint, own + othersLoadForLimit(state, endpoint, now), own);
+    endpoint.otherRoutersQueued = total > 0 ? report.queued * others / total : 0;
     endpoint.kvUsed = report.kvUsed;
 }
 
 double slownessAt(const RoutingOptions &options, const RoutedEndpoint &endpoint, TimePoint now)
 {
-    const double kept = fadeOver(now - endpoint.slownessAt, options.slownessHalfLife);
+    const double kept = decayFactor(now - endpoint.slownessAt, options.slownessHalfLife);
     return std::pow(endpoint.slowness, kept);
 }
 
-void learnSlowness(
+void updateSlowness(
     RoutedEndpoint &endpoint, const RoutingOptions &options, double expectedSeconds, double seconds, TimePoint now)
 {
-    const double ratio = (seconds + SlownessGrainSeconds) / (expectedSeconds + SlownessGrainSeconds);
+    const double ratio = (seconds + SlownessNoiseSeconds) / (expectedSeconds + SlownessNoiseSeconds);
     const double bounded = std::clamp(ratio, MinSlowness, MaxSlowness);
     const double known = slownessAt(options, endpoint, now);
     endpoint.slowness = known + SlownessGain * (bounded - known);
     endpoint.slownessAt = now;
 }
 
-bool noteConnectFailure(RoutedEndpoint &endpoint, const RoutingOptions &options, TimePoint now)
+bool recordConnectFailure(RoutedEndpoint &endpoint, const RoutingOptions &options, TimePoint now)
 {
     ++endpoint.connectFailures;
     if (!endpoint.breakerOpen && endpoint.connectFailures < options.breakerFailures) {
@@ -249,7 +249,7 @@
 {
     const auto doubled =
         endpoint.breakerOpen && now >= endpoint.breakerUntil ? endpoint.breakerTime * 2 : endpoint.breakerTime;
-    endpoint.breakerTime = std::clamp(doubled, options.breakerOpen, options.maxBreakerOpen);
+    endpoint.breakerTime = std::clamp(doubled, options.breakerOpenTime, options.maxBreakerOpenTime);
     endpoint.breakerOpen = true;
     endpoint.breakerUntil = std::max(endpoint.breakerUntil, now + endpoint.breakerTime);
 }
--- a/godwit/routing/endpoint_load.h
+++ b/godwit/routing/endpoint_load.h
@@ -3,7 +3,7 @@
 // What one endpoint carries and whether it takes new calls, from late reports and from this router's own calls.
 //
 // Example:
-//   noteDispatch(endpoint, call, now);
+//   recordDispatch(endpoint, call, now);
 //   if (availabilityOf(state, endpoint, now) == Availability::Ready) { estimatedLoad(state, endpoint, now); }
 
 #include "godwit/routing/routing_state.h"
@@ -13,8 +13,8 @@
 
 enum class Availability {
     Ready,
-    Resting, // Comes back by itself: its breaker is open or it turned a call away.
-    Closed, // Leaving, or no longer listed.
+    Paused, // Comes back by itself: its breaker is open or it turned a call away.
+    Unavailable, // Leaving, or no longer listed.
 };
 
 Availability availabilityOf(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now);
@@ -23,7 +23,7 @@
 const EndpointId &processOf(const EndpointSpec &spec);
 
 // When a resting endpoint is to be tried again.
-TimePoint restsUntil(const RoutedEndpoint &endpoint);
+TimePoint availableAt(const RoutedEndpoint &endpoint);
 
 // Calls that the endpoint runs or queues now: those of other routers as last reported, and the own ones. A report is
 // compared with the own calls at the time that it was taken, so that none is counted twice.
@@ -35,22 +35,22 @@
 // A number from 0 to 1.
 double nextRandom(RoutingState &state);
 
-void noteDispatch(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now);
+void recordDispatch(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now);
 
 // Takes a call off the endpoint, however it ended.
-void noteRelease(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now);
+void recordRelease(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now);
 
-void noteReport(RoutingState &state, RoutedEndpoint &endpoint, const LoadReport &report, TimePoint now);
+void recordLoadReport(RoutingState &state, RoutedEndpoint &endpoint, const LoadReport &report, TimePoint now);
 
 // Learns from a first token that took `seconds`, against what the choice expected.
-void learnSlowness(
+void updateSlowness(
     RoutedEndpoint &endpoint, const RoutingOptions &options, double expectedSeconds, double seconds, TimePoint now);
 
 // Observed over expected time by now: what was learned fades.
 double slownessAt(const RoutingOptions &options, const RoutedEndpoint &endpoint, TimePoint now);
 
 // A failure to connect. Returns whether the breaker opened or opened again.
-bool noteConnectFailure(RoutedEndpoint &endpoint, const RoutingOptions &options, TimePoint now);
+bool recordConnectFailure(RoutedEndpoint &endpoint, const RoutingOptions &options, TimePoint now);
 
 void openBreaker(RoutedEndpoint &endpoint, const RoutingOptions &options, TimePoint now);
 
--- a/godwit/routing/fair_queue.cpp
+++ b/godwit/routing/fair_queue.cpp
@@ -12,7 +12,7 @@
     return static_cast<double>(customer.calls.size()) / customer.share;
 }
 
-void leaveOrders(FairQueue &queue, std::uint32_t slot)
+void removeFromIndexes(FairQueue &queue, std::uint32_t slot)
 {
     const auto &customer = queue.customers[slot];
     if (customer.calls.empty()) {
@@ -23,7 +23,7 @@
     queue.waitingShare -= customer.share;
 }
 
-void joinOrders(FairQueue &queue, std::uint32_t slot)
+void addToIndexes(FairQueue &queue, std::uint32_t slot)
 {
     const auto &customer = queue.customers[slot];
     if (customer.calls.empty()) {
@@ -71,11 +71,11 @@
 
 } // namespace
 
-void pushCall(FairQueue &queue, const CustomerId &customer, double share, const QueuePlace &place)
+void pushCall(FairQueue &queue, const CustomerId &customer, double share, const QueueEntry &place)
 {
     const auto slot = slotFor(queue, customer);
     auto &entry = queue.customers[slot];
-    leaveOrders(queue, slot);
+    removeFromIndexes(queue, slot);
     if (entry.calls.empty()) {
         entry.virtualTime = std::max(entry.virtualTime, queue.virtualTime);
     }
@@ -83,7 +83,7 @@
     entry.calls.insert(place);
     countPriority(entry, place.priority, true);
     ++queue.size;
-    joinOrders(queue, slot);
+    addToIndexes(queue, slot);
 }
 
 std::optional<CallId> frontCall(const FairQueue &queue)
@@ -98,17 +98,17 @@
 {
     const auto slot = queue.byVirtualTime.begin()->second;
     auto &entry = queue.customers[slot];
-    leaveOrders(queue, slot);
+    removeFromIndexes(queue, slot);
     const auto place = *entry.calls.begin();
     entry.calls.erase(entry.calls.begin());
     countPriority(entry, place.priority, false);
     --queue.size;
     queue.virtualTime = entry.virtualTime;
     entry.virtualTime += place.cost / entry.share;
-    joinOrders(queue, slot);
+    addToIndexes(queue, slot);
 }
 
-bool removeCall(FairQueue &queue, const CustomerId &customer, const QueuePlace &place)
+bool removeCall(FairQueue &queue, const CustomerId &customer, const QueueEntry &place)
 {
     const auto found = queue.slotOf.find(customer);
     if (found == queue.slotOf.end()) {
@@ -120,15 +120,15 @@
     if (call == entry.calls.end()) {
         return false;
     }
-    leaveOrders(queue, slot);
+    removeFromIndexes(queue, slot);
     entry.calls.erase(call);
     countPriority(entry, place.priority, false);
     --queue.size;
-    joinOrders(queue, slot);
+    addToIndexes(queue, slot);
     return true;
 }
 
-std::optional<CustomerId> longerQueue(const FairQueue &queue, const CustomerId &customer, double share)
+std::optional<CustomerId> customerWithLongerQueue(const FairQueue &queue, const CustomerId &customer, double share)
 {
     if (queue.byLength.empty()) {
         return std::nullopt;
@@ -169,7 +169,7 @@
     return ownAhead + std::min(othersWaiting, (ownAhead + 1) * othersShare / share);
 }
 
-void forgetIdleCustomers(FairQueue &queue)
+void removeIdleCustomers(FairQueue &queue)
 {
     for (std::uint32_t slot = 0; slot < queue.customers.size(); ++slot) {
         auto &entry = queue.customers[slot];
--- a/godwit/routing/fair_queue.h
+++ b/godwit/routing/fair_queue.h
@@ -29,7 +29,7 @@
 {
 
 // The place of a call within its customer's queue.
-struct QueuePlace
+struct QueueEntry
 {
     int priority = 0;
     TimePoint arrivedAt;
@@ -37,7 +37,7 @@
     // What taking the call charges its customer: its expected use of an endpoint.
     double cost = 1;
 
-    friend bool operator<(const QueuePlace &a, const QueuePlace &b)
+    friend bool operator<(const QueueEntry &a, const QueueEntry &b)
     {
         return std::tie(b.priority, a.arrivedAt, a.call) < std::tie(a.priority, b.arrivedAt, b.call);
     }
@@ -48,7 +48,7 @@
     CustomerId customer;
     double share = 1;
     double virtualTime = 0;
-    std::set<QueuePlace> calls;
+    std::set<QueueEntry> calls;
     // How many of them have each priority.
     std::map<int, std::size_t> byPriority;
 };
@@ -67,7 +67,7 @@
 };
 
 // Adds a call of `customer`, whose share must be positive.
-void pushCall(FairQueue &queue, const CustomerId &customer, double share, const QueuePlace &place);
+void pushCall(FairQueue &queue, const CustomerId &customer, double share, const QueueEntry &place);
 
 // The call whose turn it is.
 std::optional<CallId> frontCall(const FairQueue &queue);
@@ -76,11 +76,11 @@
 void popCall(FairQueue &queue);
 
 // Takes a call out without a charge. Returns whether it was there.
-bool removeCall(FairQueue &queue, const CustomerId &customer, const QueuePlace &place);
+bool removeCall(FairQueue &queue, const CustomerId &customer, const QueueEntry &place);
 
 // The customer with the longest queue for its share, when that is longer than the one that `customer` would have with
 // one more call; else nothing.
-std::optional<CustomerId> longerQueue(const FairQueue &queue, const CustomerId &customer, double share);
+std::optional<CustomerId> customerWithLongerQueue(const FairQueue &queue, const CustomerId &customer, double share);
 
 // The call that goes last of `customer`'s.
 std::optional<CallId> lastCall(const FairQueue &queue, const CustomerId &customer);
@@ -89,6 +89,6 @@
 double callsAhead(const FairQueue &queue, const CustomerId &customer, double share, int priority);
 
 // Forgets customers that wait for nothing and are behind the present virtual time. Cost: all known customers.
-void forgetIdleCustomers(FairQueue &queue);
+void removeIdleCustomers(FairQueue &queue);
 
 } // namespace Godwit
--- a/godwit/routing/fair_queue_test.cpp
+++ b/godwit/routing/fair_queue_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-QueuePlace place(std::uint64_t call, int priority = 0, double cost = 1)
+QueueEntry place(std::uint64_t call, int priority = 0, double cost = 1)
 {
     return {priority, TimePoint(Duration(static_cast<std::int64_t>(call))), CallId(call), cost};
 }
@@ -106,9 +106,9 @@
         pushCall(queue, Large, 1, place(i));
     }
     pushCall(queue, Small, 1, place(100));
-    CHECK(longerQueue(queue, Small, 1) == Large);
+    CHECK(customerWithLongerQueue(queue, Small, 1) == Large);
     CHECK(lastCall(queue, Large) == CallId(9));
-    CHECK_FALSE(longerQueue(queue, Large, 1));
+    CHECK_FALSE(customerWithLongerQueue(queue, Large, 1));
 }
 
 TEST_CASE("removed calls and forgotten customers leave nothing behind")
@@ -124,7 +124,7 @@
     CHECK(queue.byVirtualTime.empty());
     CHECK(queue.byLength.empty());
     CHECK(queue.waitingShare == Approx(0));
-    forgetIdleCustomers(queue);
+    removeIdleCustomers(queue);
     CHECK(queue.slotOf.empty());
     pushCall(queue, Small, 1, place(3));
     CHECK(queue.customers.size() == 1);
--- a/godwit/routing/prefix_index.cpp
+++ b/godwit/routing/prefix_index.cpp
@@ -24,8 +24,8 @@
 std::size_t evictOne(PrefixIndex &index)
 {
     while (true) {
-        const auto place = index.hand;
-        index.hand = (index.hand + 1) % index.ring.size();
+        const auto place = index.clockHand;
+        index.clockHand = (index.clockHand + 1) % index.ring.size();
         auto &entry = index.entries.at(index.ring[place]);
         if (!entry.used) {
             index.entries.erase(index.ring[place]);
@@ -58,7 +58,7 @@
     return index;
 }
 
-void rememberPrefix(PrefixIndex &index, std::size_t slot, const std::vector<std::uint64_t> &blocks)
+void recordPrefix(PrefixIndex &index, std::size_t slot, const std::vector<std::uint64_t> &blocks)
 {
     if (slot >= MaxTrackedEndpoints) {
         return;
@@ -87,12 +87,12 @@
         return;
     }
     case CacheEventKind::Cleared:
-        forgetEndpoint(index, slot);
+        removeEndpoint(index, slot);
         return;
     }
 }
 
-void forgetEndpoint(PrefixIndex &index, std::size_t slot)
+void removeEndpoint(PrefixIndex &index, std::size_t slot)
 {
     if (slot >= MaxTrackedEndpoints) {
         return;
--- a/godwit/routing/prefix_index.h
+++ b/godwit/routing/prefix_index.h
@@ -7,7 +7,7 @@
 //
 // Example:
 //   PrefixIndex index = makePrefixIndex(100'000);
-//   rememberPrefix(index, endpointSlot, call.prefixHashes);
+//   recordPrefix(index, endpointSlot, call.prefixHashes);
 //   const PrefixMatches matches = matchPrefixes(index, call.prefixHashes);
 //   matches.blocks[endpointSlot]; // Leading blocks of the prompt that it holds.
 
@@ -40,7 +40,7 @@
     std::unordered_map<std::uint64_t, PrefixEntry> entries;
     // All blocks, in a ring for the second-chance scan.
     std::vector<std::uint64_t> ring;
-    std::size_t hand = 0;
+    std::size_t clockHand = 0;
 };
 
 struct PrefixMatches
@@ -53,12 +53,12 @@
 PrefixIndex makePrefixIndex(std::size_t capacity);
 
 // Notes that the endpoint in `slot` holds all `blocks`.
-void rememberPrefix(PrefixIndex &index, std::size_t slot, const std::vector<std::uint64_t> &blocks);
+void recordPrefix(PrefixIndex &index, std::size_t slot, const std::vector<std::uint64_t> &blocks);
 
 void applyCacheEvent(PrefixIndex &index, std::size_t slot, const CacheEvent &event);
 
 // Forgets all that is known of the endpoint in `slot`. Cost: the whole index.
-void forgetEndpoint(PrefixIndex &index, std::size_t slot);
+void removeEndpoint(PrefixIndex &index, std::size_t slot);
 
 // Counts the leading blocks that each endpoint holds and marks the entries met as used.
 void matchPrefixes(PrefixIndex &index, const std::vector<std::uint64_t> &blocks, PrefixMatches &matches);
--- a/godwit/routing/prefix_index_test.cpp
+++ b/godwit/routing/prefix_index_test.cpp
@@ -28,8 +28,8 @@
 TEST_CASE("each endpoint is matched up to the longest beginning that it holds")
 {
     auto index = makePrefixIndex(100);
-    rememberPrefix(index, 3, blocksFrom(10, 4));
-    rememberPrefix(index, 200, blocksFrom(10, 2));
+    recordPrefix(index, 3, blocksFrom(10, 4));
+    recordPrefix(index, 200, blocksFrom(10, 2));
     CHECK(matchOf(index, 3, blocksFrom(10, 6)) == 4);
     CHECK(matchOf(index, 200, blocksFrom(10, 6)) == 2);
     CHECK(matchOf(index, 4, blocksFrom(10, 6)) == 0);
@@ -44,7 +44,7 @@
 {
     auto index = makePrefixIndex(50);
     const auto used = blocksFrom(1, 10);
-    rememberPrefix(index, 0, used);
+    recordPrefix(index, 0, used);
     for (std::uint64_t i = 0; i < 1000; ++i) {
         applyCacheEvent(index, 1, {CacheEventKind::Stored, 1000 + i});
         CHECK(matchOf(index, 0, used) == 10);
@@ -56,8 +56,8 @@
 TEST_CASE("endpoints beyond the tracked ones are left out, not mixed up")
 {
     auto index = makePrefixIndex(50);
-    rememberPrefix(index, MaxTrackedEndpoints, blocksFrom(1, 3));
+    recordPrefix(index, MaxTrackedEndpoints, blocksFrom(1, 3));
     applyCacheEvent(index, MaxTrackedEndpoints + 1, {CacheEventKind::Stored, 1});
-    forgetEndpoint(index, MaxTrackedEndpoints);
+    removeEndpoint(index, MaxTrackedEndpoints);
     CHECK(index.entries.empty());
 }
--- a/godwit/routing/routing.cpp
+++ b/godwit/routing/routing.cpp
@@ -1,7 +1,7 @@
 #include "godwit/routing/routing.h"
 
-#include "godwit/routing/call_flow.h"
-#include "godwit/routing/crash_flow.h"
+#include "godwit/routing/attempt_failure.h"
+#include "godwit/routing/call_dispatch.h"
 #include "godwit/routing/endpoint_choice.h"
 #include "godwit/routing/endpoint_load.h"
 
@@ -18,17 +18,17 @@
 
 constexpr Duration HousekeepingInterval = std::chrono::seconds(60);
 constexpr Duration NoEndpointRetryAfter = std::chrono::seconds(1);
-constexpr double LearningGain = 0.1;
+constexpr double AverageSmoothing = 0.1;
 // A gap of so many lost cache events halves the belief in what is known of the endpoint's cache.
-constexpr double GapThatHalvesTrust = 500;
-constexpr double LeastCacheTrust = 0.3;
-constexpr double EventsThatRestoreTrust = 1000;
+constexpr double LostEventsToHalveConfidence = 500;
+constexpr double MinCacheConfidence = 0.3;
+constexpr double EventsToRestoreConfidence = 1000;
 
 using Actions = std::vector<RoutingAction>;
 
-void learn(double &known, double seen)
+void updateAverage(double &known, double seen)
 {
-    known = known == 0 ? seen : known + LearningGain * (seen - known);
+    known = known == 0 ? seen : known + AverageSmoothing * (seen - known);
 }
 
 RoutedEndpoint *findEndpoint(RoutingState &state, const EndpointId &id)
@@ -79,7 +79,7 @@
     return index;
 }
 
-std::uint32_t freePlace(std::vector<std::uint32_t> &places, std::uint32_t value)
+std::uint32_t claimFreePlace(std::vector<std::uint32_t> &places, std::uint32_t value)
 {
     const auto free = std::find(places.begin(), places.end(), NoEndpointIndex);
     if (free != places.end()) {
@@ -103,15 +103,15 @@
     endpoint = RoutedEndpoint{};
     endpoint.inUse = true;
     endpoint.listed = true;
-    endpoint.partRounding = nextRandom(state);
+    endpoint.equalPartRounding = nextRandom(state);
     endpoint.route = routeFor(state, spec.route);
-    endpoint.slot = freePlace(state.routes[endpoint.route].endpoints, index);
+    endpoint.indexInRoute = claimFreePlace(state.routes[endpoint.route].endpoints, index);
     state.endpointIndex[spec.id] = index;
     endpoint.spec = std::move(spec);
 }
 
 // Frees the places of endpoints that are gone and run nothing more.
-void freeGoneEndpoints(RoutingState &state)
+void releaseUnlistedEndpoints(RoutingState &state)
 {
     for (std::size_t index = 0; index < state.endpoints.size(); ++index) {
         auto &endpoint = state.endpoints[index];
@@ -119,10 +119,10 @@
             continue;
         }
         auto &route = state.routes[endpoint.route];
-        route.endpoints[endpoint.slot] = NoEndpointIndex;
-        route.othersLoad -= endpoint.othersLoad;
+        route.endpoints[endpoint.indexInRoute] = NoEndpointIndex;
+        route.otherRoutersLoad -= endpoint.otherRoutersLoad;
         route.reporting -= endpoint.reported ? 1 : 0;
-        forgetEndpoint(route.prefixes, endpoint.slot);
+        removeEndpoint(route.prefixes, endpoint.indexInRoute);
         const auto known = state.endpointIndex.find(endpoint.spec.id);
         if (known != state.endpointIndex.end() && known->second == index) {
             state.endpointIndex.erase(known);
@@ -148,102 +148,105 @@
     for (auto &route : state.routes) {
         route.slots = 0;
         for (const auto index : route.endpoints) {
-            const bool open =
-                index != NoEndpointIndex && availabilityOf(state, state.endpoints[index], now) != Availability::Closed;
+            const bool open = index != NoEndpointIndex
+                && availabilityOf(state, state.endpoints[index], now) != Availability::Unavailable;
             route.slots += open ? state.endpoints[index].spec.slots : 0;
         }
     }
 }
 
-void pumpAllRoutes(Step &step)
+void dispatchAllRoutes(EventContext &context)
 {
-    for (std::uint32_t index = 0; index < step.state.routes.size(); ++index) {
-        pumpRoute(step, index);
+    for (std::uint32_t index = 0; index < context.state.routes.size(); ++index) {
+        dispatchRoute(context, index);
     }
 }
 
-void onTimer(Step &step, TimerKind kind, std::uint64_t id)
+void onTimer(EventContext &context, TimerKind kind, std::uint64_t id)
 {
     switch (kind) {
     case TimerKind::QueueDeadline:
-        expireCall(step, CallId(id));
+        expireCall(context, CallId(id));
         return;
-    case TimerKind::HeldCall:
-        onHeldCall(step, CallId(id));
+    case TimerKind::QuarantineEnd:
+        onQuarantineEnd(context, CallId(id));
         return;
-    case TimerKind::PumpRoute:
-        pumpRoute(step, static_cast<std::uint32_t>(id));
+    case TimerKind::DispatchRoute:
+        dispatchRoute(context, static_cast<std::uint32_t>(id));
         return;
-    case TimerKind::JudgeDeath:
-        judgeEndpointDeath(step, static_cast<std::uint32_t>(id));
+    case TimerKind::ConfirmDeath:
+        confirmEndpointDeath(context, static_cast<std::uint32_t>(id));
         return;
     case TimerKind::Housekeeping:
-        for (auto &route : step.state.routes) {
-            forgetIdleCustomers(route.queue);
+        for (auto &route : context.state.routes) {
+            removeIdleCustomers(route.queue);
         }
-        removeExpiredSuspects(step.state.suspects, step.now);
-        addTimer(step, step.now + HousekeepingInterval, TimerKind::Housekeeping, 0);
+        removeExpiredSuspects(context.state.suspects, context.now);
+        addTimer(context, context.now + HousekeepingInterval, TimerKind::Housekeeping, 0);
         return;
     }
 }
 
-void onCompleted(Step &step, CallId id)
+void onCompleted(EventContext &context, CallId id)
 {
-    auto &state = step.state;
+    auto &state = context.state;
     auto &call = state.calls.at(id);
     auto &endpoint = state.endpoints[call.endpoint];
     auto &route = state.routes[call.route];
-    const double held = toSeconds(step.now - call.dispatchedAt);
-    learn(route.holdSeconds, held);
+    const double held = toSeconds(context.now - call.dispatchedAt);
+    updateAverage(route.slotSeconds, held);
     if (!call.firstToken) {
-        learn(route.firstTokenSeconds, held);
-        learnSlowness(endpoint, state.options, call.expectedSeconds, held, step.now);
+        updateAverage(route.firstTokenSeconds, held);
+        updateSlowness(endpoint, state.options, call.expectedSeconds, held, context.now);
     }
     closeBreaker(endpoint);
-    countCompletion(step, route);
-    clearByCompletion(step, call);
+    recordCompletion(context, route);
+    clearByCompletion(context, call);
 }
 
 // Skips the events that are known already. Returns how many were lost before the batch, or nothing when all of it is
 // known.
-std::optional<std::uint64_t> joinEvents(RoutedEndpoint &endpoint, const CacheEventBatch &batch, std::size_t &skip)
+std::optional<std::uint64_t> advanceCacheSequence(RoutedEndpoint &endpoint,
+                                                  const CacheEventBatch &batch,
+                                                  std::size_t &skip)
 {
     const auto end = batch.firstSequence + batch.events.size();
-    if (end <= endpoint.cacheNext) {
+    if (end <= endpoint.nextCacheSequence) {
         return std::nullopt;
     }
-    skip = batch.firstSequence < endpoint.cacheNext ? endpoint.cacheNext - batch.firstSequence : 0;
-    const auto lost = batch.firstSequence > endpoint.cacheNext ? batch.firstSequence - endpoint.cacheNext : 0;
-    endpoint.cacheNext = end;
+    skip = batch.firstSequence < endpoint.nextCacheSequence ? endpoint.nextCacheSequence - batch.firstSequence : 0;
+    const auto lost =
+        batch.firstSequence > endpoint.nextCacheSequence ? batch.firstSequence - endpoint.nextCacheSequence : 0;
+    endpoint.nextCacheSequence = end;
     return lost;
 }
 
-void noteCacheEvents(RoutingState &state, RoutedEndpoint &endpoint, const CacheEventBatch &batch)
+void applyCacheEvents(RoutingState &state, RoutedEndpoint &endpoint, const CacheEventBatch &batch)
 {
     auto &index = state.routes[endpoint.route].prefixes;
     if (!endpoint.cacheKnown || endpoint.cacheEpoch != batch.epoch) {
         if (endpoint.cacheKnown) {
-            forgetEndpoint(index, endpoint.slot);
+            removeEndpoint(index, endpoint.indexInRoute);
         }
         endpoint.cacheKnown = true;
         endpoint.cacheEpoch = batch.epoch;
-        endpoint.cacheNext = batch.firstSequence;
-        endpoint.cacheTrust = 1;
+        endpoint.nextCacheSequence = batch.firstSequence;
+        endpoint.cacheConfidence = 1;
     }
     std::size_t skip = 0;
-    const auto lost = joinEvents(endpoint, batch, skip);
+    const auto lost = advanceCacheSequence(endpoint, batch, skip);
     if (!lost) {
         return;
     }
     // Lost removals leave entries that promise a cached prompt where there is none: what is known counts for less until
     // newer events have replaced it.
-    const double belief = GapThatHalvesTrust / (GapThatHalvesTrust + static_cast<double>(*lost));
-    endpoint.cacheTrust = std::max(LeastCacheTrust, endpoint.cacheTrust * belief);
+    const double belief = LostEventsToHalveConfidence / (LostEventsToHalveConfidence + static_cast<double>(*lost));
+    endpoint.cacheConfidence = std::max(MinCacheConfidence, endpoint.cacheConfidence * belief);
     for (std::size_t i = skip; i < batch.events.size(); ++i) {
-        applyCacheEvent(index, endpoint.slot, batch.events[i]);
+        applyCacheEvent(index, endpoint.indexInRoute, batch.events[i]);
     }
     const auto applied = static_cast<double>(batch.events.size() - skip);
-    endpoint.cacheTrust = std::min(1.0, endpoint.cacheTrust + applied / EventsThatRestoreTrust);
+    endpoint.cacheConfidence = std::min(1.0, endpoint.cacheConfidence + applied / EventsToRestoreConfidence);
 }
 
 } // namespace
@@ -251,8 +254,8 @@
 RoutingState makeRoutingState(RoutingOptions options)
 {
     RoutingState state;
-    state.random = options.seed * 0x9E3779B97F4A7C15ULL + 1;
-    state.retryAllowance = options.retryBurst;
+    state.randomState = options.seed * 0x9E3779B97F4A7C15ULL + 1;
+    state.retryBudget = options.retryBurst;
     state.suspects.options = options.suspects;
     if (options.faults.ignoreHostFailures) {
         state.suspects.options.unrelatedDeathsThreshold = SIZE_MAX - 1;
@@ -263,9 +266,9 @@
 
 void setEndpoints(RoutingState &state, std::vector<EndpointSpec> endpoints, TimePoint now, Actions &out)
 {
-    Step step{state, now, out};
+    EventContext context{state, now, out};
     if (state.endpoints.empty()) {
-        addTimer(step, now + HousekeepingInterval, TimerKind::Housekeeping, 0);
+        addTimer(context, now + HousekeepingInterval, TimerKind::Housekeeping, 0);
     }
     for (auto &endpoint : state.endpoints) {
         endpoint.listed = false;
@@ -275,37 +278,37 @@
             addEndpoint(state, std::move(spec));
         }
     }
-    freeGoneEndpoints(state);
+    releaseUnlistedEndpoints(state);
     indexProcesses(state);
     countSlots(state, now);
-    pumpAllRoutes(step);
+    dispatchAllRoutes(context);
 }
 
 void setRouterCount(RoutingState &state, int routers)
 {
-    state.routers = std::max(1, routers);
+    state.routerCount = std::max(1, routers);
 }
 
 void enqueue(RoutingState &state, PendingCall pending, TimePoint now, Actions &out)
 {
-    Step step{state, now, out};
-    state.retryAllowance = std::min(state.options.retryBurst, state.retryAllowance + state.options.retryFraction);
+    EventContext context{state, now, out};
+    state.retryBudget = std::min(state.options.retryBurst, state.retryBudget + state.options.retryFraction);
     const auto id = pending.call;
     const auto route = state.routeIndex.find(pending.route);
-    if (route == state.routeIndex.end() || !hasOpenEndpoint(state, state.routes[route->second], now)) {
+    if (route == state.routeIndex.end() || !hasUsableEndpoint(state, state.routes[route->second], now)) {
         refuseCall(
-            step,
+            context,
             id,
             {ErrorKind::NoEndpoint, "no endpoint of the route is live", Execution::NotRun, NoEndpointRetryAfter});
         return;
     }
     if (pending.deadline <= now) {
-        refuseCall(step,
+        refuseCall(context,
                    id,
                    {ErrorKind::DeadlineTooShort,
                     "the deadline has passed",
                     Execution::NotRun,
-                    drainTime(step, state.routes[route->second])});
+                    drainTime(context, state.routes[route->second])});
         return;
     }
     RoutedCall call;
@@ -315,7 +318,7 @@
     if (const auto refused = remainingRefusal(state.suspects, call.pending.fingerprint, now);
         refused > Duration::zero()) {
         ++state.counters.refusedSuspects;
-        refuseCall(step,
+        refuseCall(context,
                    id,
                    {ErrorKind::SuspectRequest,
                     "endpoints died each time that they ran this request",
@@ -323,11 +326,11 @@
                     refused});
         return;
     }
-    if (const auto trial = suspectTrialAt(step, call)) {
-        takeSuspectIn(step, std::move(call), *trial);
+    if (const auto trial = suspectTrialAt(context, call)) {
+        admitSuspect(context, std::move(call), *trial);
         return;
     }
-    admit(step, std::move(call));
+    admit(context, std::move(call));
 }
 
 void onAttemptEnded(RoutingState &state, CallId id, AttemptEnd end, TimePoint now, Actions &out)
@@ -336,29 +339,29 @@
     if (found == state.calls.end() || found->second.phase != CallPhase::InFlight) {
         return;
     }
-    Step step{state, now, out};
+    EventContext context{state, now, out};
     const auto route = found->second.route;
     switch (end) {
     case AttemptEnd::Completed:
-        onCompleted(step, id);
+        onCompleted(context, id);
         break;
     case AttemptEnd::ConnectFailed:
-        onConnectFailure(step, id);
+        onConnectFailure(context, id);
         return;
     case AttemptEnd::RejectedNotRun:
-        onRejection(step, id);
+        onRejection(context, id);
         return;
     case AttemptEnd::EndpointCrashed:
-        onCrash(step, id);
+        onCrash(context, id);
         return;
     case AttemptEnd::TimedOut:
-        onTimeout(step, id);
+        onTimeout(context, id);
         return;
     case AttemptEnd::Cancelled:
         break;
     }
-    forgetCall(step, id);
-    pumpRoute(step, route);
+    discardCall(context, id);
+    dispatchRoute(context, route);
 }
 
 void onFirstToken(RoutingState &state, CallId id, TimePoint now, Actions &)
@@ -371,20 +374,20 @@
     auto &endpoint = state.endpoints[call.endpoint];
     const double seconds = toSeconds(now - call.dispatchedAt);
     call.firstToken = true;
-    endpoint.pendingPrefill = std::max(0.0, endpoint.pendingPrefill - call.missTokens);
-    learn(state.routes[call.route].firstTokenSeconds, seconds);
-    learnSlowness(endpoint, state.options, call.expectedSeconds, seconds, now);
+    endpoint.pendingPrefill = std::max(0.0, endpoint.pendingPrefill - call.uncachedTokens);
+    updateAverage(state.routes[call.route].firstTokenSeconds, seconds);
+    updateSlowness(endpoint, state.options, call.expectedSeconds, seconds, now);
     closeBreaker(endpoint);
 }
 
 void onLoadReport(RoutingState &state, const EndpointId &id, const LoadReport &report, TimePoint now, Actions &out)
 {
-    Step step{state, now, out};
+    EventContext context{state, now, out};
     forEndpoints(state, id, [&](RoutedEndpoint &endpoint) {
-        noteReport(state, endpoint, report, now);
+        recordLoadReport(state, endpoint, report, now);
         const auto &route = state.routes[endpoint.route];
         if (route.queue.size > 0 || !route.retries.empty()) {
-            pumpRoute(step, endpoint.route);
+            dispatchRoute(context, endpoint.route);
         }
     });
 }
@@ -392,7 +395,7 @@
 void onCacheEvents(RoutingState &state, const EndpointId &id, const CacheEventBatch &batch, TimePoint, Actions &)
 {
     forEndpoints(state, id, [&](RoutedEndpoint &endpoint) {
-        noteCacheEvents(state, endpoint, batch);
+        applyCacheEvents(state, endpoint, batch);
     });
 }
 
@@ -422,27 +425,27 @@
     if (found == state.calls.end()) {
         return;
     }
-    Step step{state, now, out};
+    EventContext context{state, now, out};
     const auto route = found->second.route;
-    forgetCall(step, id);
-    pumpRoute(step, route);
+    discardCall(context, id);
+    dispatchRoute(context, route);
 }
 
-void endpointLeaving(RoutingState &state, const EndpointId &id, TimePoint now)
+void markEndpointLeaving(RoutingState &state, const EndpointId &id, TimePoint now)
 {
     forEndpoints(state, id, [&](RoutedEndpoint &endpoint) {
-        endpoint.leavingTold = true;
-        endpoint.leavingToldAt = now;
+        endpoint.leavingNotified = true;
+        endpoint.leavingNotifiedAt = now;
     });
 }
 
 void onTick(RoutingState &state, TimePoint now, Actions &out)
 {
-    Step step{state, now, out};
+    EventContext context{state, now, out};
     while (!state.timers.empty() && std::get<TimePoint>(*state.timers.begin()) <= now) {
         const auto [at, kind, id] = *state.timers.begin();
         state.timers.erase(state.timers.begin());
-        onTimer(step, kind, id);
+        onTimer(context, kind, id);
     }
 }
 
--- a/godwit/routing/routing.h
+++ b/godwit/routing/routing.h
@@ -7,7 +7,7 @@
 // and have to be carried out in order.
 //
 // A call that was given to enqueue() ends by exactly one of: onAttemptEnded() with Completed or Cancelled,
-// cancelCall(), or a GiveUp action. After GiveUp the routing knows the call no more.
+// cancelCall(), or a FailCall action. After FailCall the routing knows the call no more.
 //
 // Example:
 //   RoutingState state = makeRoutingState(RoutingOptions{});
@@ -40,19 +40,19 @@
 
 // The call's final answer: Overloaded, DeadlineTooShort, NoEndpoint, EndpointFailed, OutcomeUnknown or SuspectRequest.
 // `error.execution` covers the attempts of this call; of other calls of the same request it knows nothing.
-struct GiveUp
+struct FailCall
 {
     CallId call;
     Error error;
 };
 
 // Tell all other routers.
-struct TellSuspect
+struct BroadcastSuspect
 {
     SuspectNotice notice;
 };
 
-using RoutingAction = std::variant<Dispatch, GiveUp, TellSuspect>;
+using RoutingAction = std::variant<Dispatch, FailCall, BroadcastSuspect>;
 
 enum class AttemptEnd {
     Completed,
@@ -74,10 +74,10 @@
 // The number of live routers that share the endpoints, this one included.
 void setRouterCount(RoutingState &state, int routers);
 
-// Takes a call in, or refuses it by GiveUp. The call id must not be in use.
+// Takes a call in, or refuses it by FailCall. The call id must not be in use.
 void enqueue(RoutingState &state, PendingCall call, TimePoint now, std::vector<RoutingAction> &out);
 
-// The attempt that the last Dispatch of the call began has ended. Decides between another attempt and GiveUp. Unknown
+// The attempt that the last Dispatch of the call began has ended. Decides between another attempt and FailCall. Unknown
 // calls are ignored. For a streamed call whose answer has partly reached the caller, give Cancelled and end the call
 // otherwise: a second attempt would repeat what the caller has.
 void onAttemptEnded(RoutingState &state, CallId call, AttemptEnd end, TimePoint now, std::vector<RoutingAction> &out);
@@ -96,14 +96,14 @@
                    TimePoint now,
                    std::vector<RoutingAction> &out);
 
-// Takes what another router told by TellSuspect.
+// Takes what another router told by BroadcastSuspect.
 void onSuspectNotice(RoutingState &state, const SuspectNotice &notice, TimePoint now, std::vector<RoutingAction> &out);
 
 // The caller is gone: forgets the call, waiting or in flight. No action follows for it.
 void cancelCall(RoutingState &state, CallId call, TimePoint now, std::vector<RoutingAction> &out);
 
 // The endpoint said that it is leaving: nothing new goes there, although the host list may still show it as live.
-void endpointLeaving(RoutingState &state, const EndpointId &endpoint, TimePoint now);
+void markEndpointLeaving(RoutingState &state, const EndpointId &endpoint, TimePoint now);
 
 // Does what is due at `now`.
 void onTick(RoutingState &state, TimePoint now, std::vector<RoutingAction> &out);
--- a/godwit/routing/routing_bench.cpp
+++ b/godwit/routing/routing_bench.cpp
@@ -297,7 +297,7 @@
     static constexpr std::size_t Callers = 600;
     static constexpr double Step = 0.1;
     static constexpr double DeathAt = 120;
-    static constexpr double SeenAfter = 2;
+    static constexpr double DetectionDelay = 2;
 
     double uniform()
     {
@@ -325,12 +325,12 @@
     {
         std::vector<RouterAddress> live;
         for (std::size_t i = 0; i < Hosts; ++i) {
-            if (m_dying.count(i) == 0 || m_time < DeathAt + SeenAfter) {
+            if (m_dying.count(i) == 0 || m_time < DeathAt + DetectionDelay) {
                 live.push_back(m_routers[i]);
             }
         }
         AddressOptions options;
-        options.pick = m_random();
+        options.selector = m_random();
         options.customerShare = m_shares[caller.customer] / m_shareSum;
         if (m_policy == AddressPolicy::NoBound) {
             options.loadBound = 1e9;
--- a/godwit/routing/routing_fuzz_test.cpp
+++ b/godwit/routing/routing_fuzz_test.cpp
@@ -24,7 +24,7 @@
 
 constexpr std::size_t EndpointCount = 6;
 
-enum class Move {
+enum class Operation {
     Add,
     Complete,
     ConnectFails,
@@ -42,38 +42,38 @@
     Wait,
 };
 
-constexpr EnumName<Move> MoveNames[] = {
-    {Move::Add, "add"},
-    {Move::Complete, "complete"},
-    {Move::ConnectFails, "connect fails"},
-    {Move::Reject, "reject"},
-    {Move::Crash, "crash"},
-    {Move::TimeOut, "time out"},
-    {Move::Cancel, "cancel"},
-    {Move::FirstToken, "first token"},
-    {Move::Report, "report"},
-    {Move::Cache, "cache"},
-    {Move::Notice, "notice"},
-    {Move::Relist, "relist"},
-    {Move::Leaving, "leaving"},
-    {Move::EndpointDies, "endpoint dies"},
-    {Move::Wait, "wait"},
+constexpr EnumName<Operation> OperationNames[] = {
+    {Operation::Add, "add"},
+    {Operation::Complete, "complete"},
+    {Operation::ConnectFails, "connect fails"},
+    {Operation::Reject, "reject"},
+    {Operation::Crash, "crash"},
+    {Operation::TimeOut, "time out"},
+    {Operation::Cancel, "cancel"},
+    {Operation::FirstToken, "first token"},
+    {Operation::Report, "report"},
+    {Operation::Cache, "cache"},
+    {Operation::Notice, "notice"},
+    {Operation::Relist, "relist"},
+    {Operation::Leaving, "leaving"},
+    {Operation::EndpointDies, "endpoint dies"},
+    {Operation::Wait, "wait"},
 };
 
 struct Schedule
 {
-    std::vector<std::pair<Move, std::uint32_t>> moves;
+    std::vector<std::pair<Operation, std::uint32_t>> operations;
 };
 
 std::ostream &operator<<(std::ostream &out, const Schedule &schedule)
 {
-    for (const auto &[move, value] : schedule.moves) {
-        out << enumName(MoveNames, move) << ' ' << value << "; ";
+    for (const auto &[operation, value] : schedule.operations) {
+        out << enumName(OperationNames, operation) << ' ' << value << "; ";
     }
     return out;
 }
 
-struct KnownCall
+struct ExpectedCall
 {
     bool repeatable = false;
     // The endpoint that runs it.
@@ -92,39 +92,39 @@
         relist(0);
     }
 
-    void apply(Move move, std::uint32_t value)
+    void apply(Operation operation, std::uint32_t value)
     {
-        switch (move) {
-        case Move::Add:
+        switch (operation) {
+        case Operation::Add:
             add(value);
             break;
-        case Move::Complete:
+        case Operation::Complete:
             end(value, AttemptEnd::Completed);
             break;
-        case Move::ConnectFails:
+        case Operation::ConnectFails:
             end(value, AttemptEnd::ConnectFailed);
             break;
-        case Move::Reject:
+        case Operation::Reject:
             end(value, AttemptEnd::RejectedNotRun);
             break;
-        case Move::Crash:
+        case Operation::Crash:
             end(value, AttemptEnd::EndpointCrashed);
             break;
-        case Move::TimeOut:
+        case Operation::TimeOut:
             end(value, AttemptEnd::TimedOut);
             break;
-        case Move::Cancel:
+        case Operation::Cancel:
             cancel(value);
             break;
-        case Move::FirstToken:
+        case Operation::FirstToken:
             if (const auto id = pickInFlight(value)) {
                 onFirstToken(m_state, CallId(*id), m_now, m_actions);
             }
             break;
-        case Move::Report:
+        case Operation::Report:
             report(value);
             break;
-        case Move::Cache:
+        case Operation::Cache:
             onCacheEvents(
                 m_state,
                 EndpointId(endpointName(value)),
@@ -132,23 +132,23 @@
                 m_now,
                 m_actions);
             break;
-        case Move::Notice:
+        case Operation::Notice:
             notice(value);
             break;
-        case Move::Relist:
+        case Operation::Relist:
             relist(value);
             break;
-        case Move::Leaving:
+        case Operation::Leaving:
             // A notice of one that is not listed has no meaning.
             if (m_listed.count(endpointName(value)) != 0) {
                 m_leaving.insert(endpointName(value));
             }
-            endpointLeaving(m_state, EndpointId(endpointName(value)), m_now);
+            markEndpointLeaving(m_state, EndpointId(endpointName(value)), m_now);
             break;
-        case Move::EndpointDies:
+        case Operation::EndpointDies:
             endpointDies(endpointName(value));
             break;
-        case Move::Wait:
+        case Operation::Wait:
             wait(std::chrono::milliseconds(value % 700));
             break;
         }
@@ -178,13 +178,13 @@
         }
     }
 
-    std::vector<std::string> faults;
+    std::vector<std::string> violations;
 
 private:
     void expect(bool holds, const std::string &fault)
     {
         if (!holds) {
-            faults.push_back(fault);
+            violations.push_back(fault);
         }
     }
 
@@ -309,7 +309,7 @@
         }
         if (missing == 0) {
             // In the end all are well again: the leaving notices have run out.
-            m_now += m_leaving.empty() ? Duration::zero() : m_state.options.leavingMemory;
+            m_now += m_leaving.empty() ? Duration::zero() : m_state.options.leavingNoticeTtl;
             m_leaving.clear();
         }
         setEndpoints(m_state, specs, m_now, m_actions);
@@ -343,7 +343,7 @@
         for (const auto &action : actions) {
             if (const auto *sent = std::get_if<Dispatch>(&action)) {
                 checkDispatch(*sent);
-            } else if (const auto *given = std::get_if<GiveUp>(&action)) {
+            } else if (const auto *given = std::get_if<FailCall>(&action)) {
                 auto &call = m_calls.at(given->call.value);
                 expect(!call.ended, "ended twice");
                 expect(!call.at, "given up while an endpoint runs it");
@@ -373,7 +373,7 @@
     RoutingState m_state;
     TimePoint m_now = TimePoint(1h);
     std::vector<RoutingAction> m_actions;
-    std::map<std::uint64_t, KnownCall> m_calls;
+    std::map<std::uint64_t, ExpectedCall> m_calls;
     std::set<std::string> m_listed;
     std::set<std::string> m_leaving;
     std::uint64_t m_nextCall = 1;
@@ -381,24 +381,24 @@
 
 rc::Gen<Schedule> schedules()
 {
-    const auto move = rc::gen::weightedElement<Move>({{30, Move::Add},
-                                                      {12, Move::Complete},
-                                                      {4, Move::ConnectFails},
-                                                      {3, Move::Reject},
-                                                      {4, Move::Crash},
-                                                      {3, Move::TimeOut},
-                                                      {3, Move::Cancel},
-                                                      {4, Move::FirstToken},
-                                                      {6, Move::Report},
-                                                      {3, Move::Cache},
-                                                      {3, Move::Notice},
-                                                      {2, Move::Relist},
-                                                      {1, Move::Leaving},
-                                                      {3, Move::EndpointDies},
-                                                      {10, Move::Wait}});
-    const auto moves = rc::gen::container<std::vector<std::pair<Move, std::uint32_t>>>(
-        100, rc::gen::pair(move, rc::gen::arbitrary<std::uint32_t>()));
-    return rc::gen::map(moves, [](auto list) {
+    const auto operation = rc::gen::weightedElement<Operation>({{30, Operation::Add},
+                                                                {12, Operation::Complete},
+                                                                {4, Operation::ConnectFails},
+                                                                {3, Operation::Reject},
+                                                                {4, Operation::Crash},
+                                                                {3, Operation::TimeOut},
+                                                                {3, Operation::Cancel},
+                                                                {4, Operation::FirstToken},
+                                                                {6, Operation::Report},
+                                                                {3, Operation::Cache},
+                                                                {3, Operation::Notice},
+                                                                {2, Operation::Relist},
+                                                                {1, Operation::Leaving},
+                                                                {3, Operation::EndpointDies},
+                                                                {10, Operation::Wait}});
+    const auto operations = rc::gen::container<std::vector<std::pair<Operation, std::uint32_t>>>(
+        100, rc::gen::pair(operation, rc::gen::arbitrary<std::uint32_t>()));
+    return rc::gen::map(operations, [](auto list) {
         return Schedule{std::move(list)};
     });
 }
@@ -406,14 +406,14 @@
 std::vector<std::string> run(const Schedule &schedule, const RoutingOptions &options)
 {
     Driver driver(options);
-    for (const auto &[move, value] : schedule.moves) {
-        driver.apply(move, value);
+    for (const auto &[operation, value] : schedule.operations) {
+        driver.apply(operation, value);
     }
     driver.settle();
-    return driver.faults;
+    return driver.violations;
 }
 
-bool breaksWith(const RoutingFaults &faults, int tries)
+bool findsViolation(const RoutingFaults &faults, int tries)
 {
     RoutingOptions options;
     options.faults = faults;
@@ -445,11 +445,11 @@
 TEST_CASE("the fuzzer finds the safeguards that are taken out")
 {
     constexpr int tries = 200;
-    CHECK_FALSE(breaksWith({}, tries));
+    CHECK_FALSE(findsViolation({}, tries));
     RoutingFaults faults;
     faults.retryNotRepeatable = true;
-    CHECK(breaksWith(faults, tries));
+    CHECK(findsViolation(faults, tries));
     faults = {};
     faults.ignoreLeaving = true;
-    CHECK(breaksWith(faults, tries));
+    CHECK(findsViolation(faults, tries));
 }
--- a/godwit/routing/routing_state.h
+++ b/godwit/routing/routing_state.h
@@ -48,11 +48,11 @@
     // Each call that an endpoint runs slows the others' first token by about this.
     Duration costPerRunningCall = std::chrono::milliseconds(2);
     // Endpoints take so many calls beyond their slots, as a part of these, so that they don't run dry.
-    double queueAhead = 0;
+    double queueAheadFraction = 0;
     // A report tells half as much of its endpoint after each such time.
     Duration reportHalfLife = std::chrono::milliseconds(300);
     // Part of an endpoint's slots that one router leaves to the others between two reports.
-    double roomForOthers = 0.25;
+    double slotReserveFraction = 0.25;
     // Differs from router to router, so that routers with the same reports don't round their parts alike.
     std::uint64_t seed = 1;
 
@@ -60,37 +60,37 @@
     std::size_t maxQueued = 2000;
     Duration maxQueueWait = std::chrono::milliseconds(500);
     // The cost of a call in the customers' turns: 1 and these parts.
-    double tokensPerCostPrompt = 2048;
-    double tokensPerCostOutput = 256;
+    double promptTokensPerCostUnit = 2048;
+    double outputTokensPerCostUnit = 256;
 
     // How long a call that has failed may wait for another try: what it is worth to its caller has grown.
     Duration maxRetryWait = std::chrono::seconds(5);
     // Attempts that reach an endpoint, and attempts in all: failures to connect are cheap, and when a data centre goes
     // a call may meet many before the breakers know.
-    int maxRuns = 4;
+    int maxDeliveredAttempts = 4;
     int maxAttempts = 16;
     // Retries after crashes and timeouts: this part of the calls taken in, and how many may be saved up.
     double retryFraction = 0.2;
     double retryBurst = 100;
     // An endpoint that said "not run" gets nothing for so long.
-    Duration rejectPause = std::chrono::milliseconds(100);
+    Duration rejectionBackoff = std::chrono::milliseconds(100);
     // The breaker opens after so many failures to connect in a row, and at a crash at once. Then one call at a time is
     // let through after this time, doubled with each failure up to the bound.
     int breakerFailures = 2;
-    Duration breakerOpen = std::chrono::milliseconds(500);
-    Duration maxBreakerOpen = std::chrono::seconds(15);
+    Duration breakerOpenTime = std::chrono::milliseconds(500);
+    Duration maxBreakerOpenTime = std::chrono::seconds(15);
     // How fast a learned slowness is forgotten.
     Duration slownessHalfLife = std::chrono::seconds(10);
     // How long a leaving notice outweighs a host list that still shows the endpoint as live.
-    Duration leavingMemory = std::chrono::minutes(2);
+    Duration leavingNoticeTtl = std::chrono::minutes(2);
 
     SuspectOptions suspects;
     // How long a suspect waits for the other routers' notices before it is tried alone.
-    Duration suspectGather = std::chrono::milliseconds(100);
+    Duration suspectNoticeWait = std::chrono::milliseconds(100);
     // After waiting so long for an endpoint of its own a suspect is tried beside others.
-    Duration suspectPatience = std::chrono::seconds(3);
+    Duration suspectIsolationTimeout = std::chrono::seconds(3);
     // Between two rounds, when there are more suspects than endpoints.
-    Duration suspectRound = std::chrono::seconds(1);
+    Duration suspectTrialInterval = std::chrono::seconds(1);
     // What an endpoint that runs a suspect costs a call that can't be repeated.
     Duration suspectPenalty = std::chrono::seconds(1);
     // Bound of the notices told about one death.
@@ -144,7 +144,7 @@
 enum class CallPhase {
     Queued, // In its route's fair queue.
     Retrying, // In its route's list of calls to send again.
-    Held, // Suspect: waits for notices or for judgement.
+    Quarantined, // Suspect: waits for notices or for judgement.
     InFlight,
 };
 
@@ -158,18 +158,18 @@
     // How long a call that has failed may wait for another try: what it is worth to its caller has grown.
     Duration maxRetryWait = std::chrono::seconds(5);
     // Attempts that reached an endpoint.
-    int runs = 0;
+    int deliveredAttempts = 0;
     // The worst that is known of the attempts so far.
     Execution execution = Execution::NotRun;
     // Endpoints that failed it.
-    std::vector<std::uint32_t> avoid;
+    std::vector<std::uint32_t> failedEndpoints;
     TimePoint queuedUntil;
-    TimePoint heldUntil;
+    TimePoint quarantinedUntil;
     TimePoint dispatchedAt;
     bool firstToken = false;
     bool suspect = false;
     // What the choice expected: prompt tokens to process, and seconds to the first token.
-    double missTokens = 0;
+    double uncachedTokens = 0;
     double expectedSeconds = 0;
 };
 
@@ -180,36 +180,36 @@
     int inFlight = 0;
 };
 
-constexpr std::size_t InFlightHistory = 32;
+constexpr std::size_t InFlightHistorySize = 32;
 
 struct RoutedEndpoint
 {
     EndpointSpec spec;
     std::uint32_t route = 0;
     // Its place in the route, as the prefix index counts.
-    std::uint32_t slot = 0;
+    std::uint32_t indexInRoute = 0;
     // False for a free place in RoutingState::endpoints.
     bool inUse = false;
     bool listed = false;
-    bool leavingTold = false;
-    TimePoint leavingToldAt;
+    bool leavingNotified = false;
+    TimePoint leavingNotifiedAt;
 
     std::vector<CallId> inFlight;
     double pendingPrefill = 0;
-    std::array<InFlightChange, InFlightHistory> history{};
+    std::array<InFlightChange, InFlightHistorySize> history{};
     std::size_t historyNext = 0;
 
     bool reported = false;
     // From the last report, without the own calls.
-    double othersLoad = 0;
-    double othersQueued = 0;
+    double otherRoutersLoad = 0;
+    double otherRoutersQueued = 0;
     double kvUsed = 0;
     TimePoint reportTakenAt;
-    // So many own calls may be there until the next report; see shareRoom().
+    // So many own calls may be there until the next report; see computeOwnLimit().
     int ownLimit = 0;
     // From 0 to 1: rounds this router's equal part of the slots up at some endpoints and down at others. Fixed, because
     // drawn anew with each report it would let the part creep upwards.
-    double partRounding = 0;
+    double equalPartRounding = 0;
 
     // Observed over expected time to the first token; fades to 1, so that it is tried again.
     double slowness = 1;
@@ -222,19 +222,19 @@
     TimePoint pausedUntil;
     int suspectsInFlight = 0;
     // A crash whose other calls are being gathered.
-    bool dying = false;
+    bool deathPending = false;
     TimePoint diedAt;
-    std::size_t noticesTold = 0;
+    std::size_t noticesSent = 0;
 
     std::uint64_t cacheEpoch = 0;
-    std::uint64_t cacheNext = 0;
+    std::uint64_t nextCacheSequence = 0;
     bool cacheKnown = false;
     // How far the prefix index can be believed after gaps, from 0 to 1.
-    double cacheTrust = 1;
+    double cacheConfidence = 1;
 };
 
 // A count that fades with time, to tell a present rate.
-struct RateMeter
+struct DecayingCounter
 {
     double count = 0;
     TimePoint at;
@@ -249,15 +249,15 @@
     // Calls to send again, before all others.
     std::vector<CallId> retries;
     PrefixIndex prefixes;
-    RateMeter completions;
+    DecayingCounter completions;
     // Learned: seconds that a call occupies a slot, seconds from dispatch to first token, prompt tokens to process.
-    double holdSeconds = 0;
+    double slotSeconds = 0;
     double firstTokenSeconds = 0;
-    double missTokens = 0;
+    double uncachedTokens = 0;
     // Slots of all endpoints that take new calls.
     int slots = 0;
-    // Sum of RoutedEndpoint::othersLoad, and how many endpoints have reported.
-    double othersLoad = 0;
+    // Sum of RoutedEndpoint::otherRoutersLoad, and how many endpoints have reported.
+    double otherRoutersLoad = 0;
     int reporting = 0;
     // Own calls at its endpoints.
     int inFlight = 0;
@@ -265,9 +265,9 @@
 
 enum class TimerKind {
     QueueDeadline, // of the call `id`
-    HeldCall, // of the call `id`
-    PumpRoute, // of the route `id`
-    JudgeDeath, // of the endpoint `id`
+    QuarantineEnd, // of the call `id`
+    DispatchRoute, // of the route `id`
+    ConfirmDeath, // of the endpoint `id`
     Housekeeping,
 };
 
@@ -291,8 +291,8 @@
 struct RoutingState
 {
     RoutingOptions options;
-    int routers = 1;
-    std::uint64_t random = 0;
+    int routerCount = 1;
+    std::uint64_t randomState = 0;
     std::vector<internal::RoutedEndpoint> endpoints;
     std::unordered_map<EndpointId, std::uint32_t> endpointIndex;
     // Endpoints in use whose process has an id of its own.
@@ -302,7 +302,7 @@
     std::unordered_map<CallId, internal::RoutedCall> calls;
     std::set<internal::Timer> timers;
     SuspectTracker suspects;
-    double retryAllowance = 0;
+    double retryBudget = 0;
     std::size_t queued = 0;
     std::size_t inFlight = 0;
     RoutingCounters counters;
--- a/godwit/routing/routing_test.cpp
+++ b/godwit/routing/routing_test.cpp
@@ -11,25 +11,25 @@
 namespace
 {
 
-const RouteId Model{"matching"};
-const DataCentreId Here{"hala-izvor"};
-const DataCentreId There{"hala-pavilion"};
+const RouteId ModelRoute{"matching"};
+const DataCentreId LocalDataCentre{"hala-izvor"};
+const DataCentreId RemoteDataCentre{"hala-pavilion"};
 
 // One router with a clock; collects what it decides.
-struct Bench
+struct TestRouter
 {
     RoutingState state;
     TimePoint now = TimePoint(1h);
     std::vector<RoutingAction> actions;
     std::uint64_t nextCall = 1;
 
-    explicit Bench(RoutingOptions options = {})
+    explicit TestRouter(RoutingOptions options = {})
     {
-        options.dataCentre = Here;
+        options.dataCentre = LocalDataCentre;
         state = makeRoutingState(std::move(options));
     }
 
-    void list(std::vector<EndpointSpec> specs)
+    void listEndpoints(std::vector<EndpointSpec> specs)
     {
         setEndpoints(state, std::move(specs), now, actions);
     }
@@ -38,7 +38,7 @@
     {
         PendingCall call;
         call.call = CallId(nextCall++);
-        call.route = Model;
+        call.route = ModelRoute;
         call.customer = CustomerId(customer);
         call.repeatable = true;
         call.promptTokens = 1000;
@@ -60,7 +60,7 @@
         onAttemptEnded(state, call, how, now, actions);
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         const auto until = now + time;
         while (true) {
@@ -97,7 +97,7 @@
     std::optional<Error> errorOf(CallId call) const
     {
         for (const auto &action : actions) {
-            const auto *given = std::get_if<GiveUp>(&action);
+            const auto *given = std::get_if<FailCall>(&action);
             if (given && given->call == call) {
                 return given->error;
             }
@@ -106,11 +106,11 @@
     }
 };
 
-EndpointSpec endpoint(const std::string &name, int slots = 4, const DataCentreId &dataCentre = Here)
+EndpointSpec endpoint(const std::string &name, int slots = 4, const DataCentreId &dataCentre = LocalDataCentre)
 {
     EndpointSpec spec;
     spec.id = EndpointId(name);
-    spec.route = Model;
+    spec.route = ModelRoute;
     spec.dataCentre = dataCentre;
     spec.slots = slots;
     spec.modelEngine = true;
@@ -129,51 +129,51 @@
 
 TEST_CASE("calls go to the own data centre first, and elsewhere once it is full")
 {
-    Bench bench;
-    bench.list({endpoint("far", 4, There), endpoint("near", 2)});
-    auto call = bench.make();
+    TestRouter router;
+    router.listEndpoints({endpoint("far", 4, RemoteDataCentre), endpoint("near", 2)});
+    auto call = router.make();
     call.promptTokens = 10;
     for (const char *expected : {"near", "near", "far"}) {
-        call.call = CallId(bench.nextCall++);
-        CHECK(bench.endpointOf(bench.add(call)) == expected);
+        call.call = CallId(router.nextCall++);
+        CHECK(router.endpointOf(router.add(call)) == expected);
     }
 }
 
 TEST_CASE("a report is combined with the own calls since it was taken")
 {
     // The report of two running calls was taken before this router sent its own two; both endpoints carry two now.
-    Bench bench;
-    bench.list({endpoint("a", 16), endpoint("b", 16)});
-    const auto first = bench.add(bench.make());
-    const auto second = bench.add(bench.make());
-    CHECK(bench.endpointOf(first) != bench.endpointOf(second));
-    const auto busy = bench.endpointOf(first);
-    const auto other = bench.endpointOf(second);
-    bench.pass(1s);
+    TestRouter router;
+    router.listEndpoints({endpoint("a", 16), endpoint("b", 16)});
+    const auto first = router.add(router.make());
+    const auto second = router.add(router.make());
+    CHECK(router.endpointOf(first) != router.endpointOf(second));
+    const auto busy = router.endpointOf(first);
+    const auto other = router.endpointOf(second);
+    router.advance(1s);
     LoadReport report;
     report.running = 6;
     report.age = 100ms;
-    onLoadReport(bench.state, EndpointId(busy), report, bench.now, bench.actions);
+    onLoadReport(router.state, EndpointId(busy), report, router.now, router.actions);
     report.running = 1;
-    onLoadReport(bench.state, EndpointId(other), report, bench.now, bench.actions);
-    CHECK(bench.endpointOf(bench.add(bench.make())) == other);
-    const auto own = bench.state.endpoints[bench.state.endpointIndex.at(EndpointId(busy))].othersLoad;
+    onLoadReport(router.state, EndpointId(other), report, router.now, router.actions);
+    CHECK(router.endpointOf(router.add(router.make())) == other);
+    const auto own = router.state.endpoints[router.state.endpointIndex.at(EndpointId(busy))].otherRoutersLoad;
     CHECK(own == Approx(5));
 }
 
 TEST_CASE("routers that see the same free room share it")
 {
     RoutingOptions options;
-    Bench bench(options);
-    setRouterCount(bench.state, 8);
-    bench.list({endpoint("a", 16)});
+    TestRouter router(options);
+    setRouterCount(router.state, 8);
+    router.listEndpoints({endpoint("a", 16)});
     LoadReport report;
     report.running = 14;
     report.age = 100ms;
-    onLoadReport(bench.state, EndpointId("a"), report, bench.now, bench.actions);
+    onLoadReport(router.state, EndpointId("a"), report, router.now, router.actions);
     int sent = 0;
     for (int i = 0; i < 10; ++i) {
-        sent += bench.endpointOf(bench.add(bench.make())).empty() ? 0 : 1;
+        sent += router.endpointOf(router.add(router.make())).empty() ? 0 : 1;
     }
     // Two slots are free, two are this router's part of the whole.
     CHECK(sent <= 2);
@@ -181,88 +181,88 @@
 
 TEST_CASE("a prompt goes where its beginning is cached, unless that endpoint is busy")
 {
-    Bench bench;
-    bench.list({endpoint("a", 16), endpoint("b", 16)});
-    auto call = bench.make();
+    TestRouter router;
+    router.listEndpoints({endpoint("a", 16), endpoint("b", 16)});
+    auto call = router.make();
     call.prefixHashes = {1, 2, 3, 4};
-    const auto first = bench.add(call);
-    const auto home = bench.endpointOf(first);
-    onFirstToken(bench.state, first, bench.now, bench.actions);
-    auto again = bench.make();
+    const auto first = router.add(call);
+    const auto home = router.endpointOf(first);
+    onFirstToken(router.state, first, router.now, router.actions);
+    auto again = router.make();
     again.prefixHashes = {1, 2, 3, 4};
-    CHECK(bench.endpointOf(bench.add(again)) == home);
+    CHECK(router.endpointOf(router.add(again)) == home);
 
     // Twelve prompts ahead cost more than the cached beginning saves.
     LoadReport report;
     report.running = 16;
     report.queued = 12;
-    onLoadReport(bench.state, EndpointId(home), report, bench.now, bench.actions);
-    auto third = bench.make();
+    onLoadReport(router.state, EndpointId(home), report, router.now, router.actions);
+    auto third = router.make();
     third.prefixHashes = {1, 2, 3, 4};
-    CHECK(bench.endpointOf(bench.add(third)) != home);
+    CHECK(router.endpointOf(router.add(third)) != home);
 }
 
 TEST_CASE("cache events come late, twice and with gaps, and only cost locality")
 {
-    Bench bench;
-    bench.list({endpoint("a", 16), endpoint("b", 16)});
+    TestRouter router;
+    router.listEndpoints({endpoint("a", 16), endpoint("b", 16)});
     const EndpointId b("b");
     const auto homeOf = [&](std::vector<std::uint64_t> blocks) {
-        auto call = bench.make();
+        auto call = router.make();
         call.prefixHashes = std::move(blocks);
-        const auto id = bench.add(call);
-        auto home = bench.endpointOf(id);
-        cancelCall(bench.state, id, bench.now, bench.actions);
+        const auto id = router.add(call);
+        auto home = router.endpointOf(id);
+        cancelCall(router.state, id, router.now, router.actions);
         return home;
     };
     CacheEventBatch batch{1, 0, {{CacheEventKind::Stored, 71}, {CacheEventKind::Stored, 72}}};
-    onCacheEvents(bench.state, b, batch, bench.now, bench.actions);
+    onCacheEvents(router.state, b, batch, router.now, router.actions);
     CHECK(homeOf({71, 72}) == "b");
     const CacheEventBatch removal{1, 2, {{CacheEventKind::Removed, 71}, {CacheEventKind::Removed, 72}}};
-    onCacheEvents(bench.state, b, removal, bench.now, bench.actions);
-    onCacheEvents(bench.state, b, batch, bench.now, bench.actions);
+    onCacheEvents(router.state, b, removal, router.now, router.actions);
+    onCacheEvents(router.state, b, batch, router.now, router.actions);
     CHECK(homeOf({71, 72}) == "a");
     const CacheEventBatch afterGap{1, 1'000'004, {{CacheEventKind::Stored, 81}, {CacheEventKind::Stored, 82}}};
-    onCacheEvents(bench.state, b, afterGap, bench.now, bench.actions);
-    CHECK(bench.state.endpoints[bench.state.endpointIndex.at(b)].cacheTrust < 0.5);
+    onCacheEvents(router.state, b, afterGap, router.now, router.actions);
+    CHECK(router.state.endpoints[router.state.endpointIndex.at(b)].cacheConfidence < 0.5);
     CHECK(homeOf({81, 82}) == "b");
     const CacheEventBatch restarted{2, 0, {{CacheEventKind::Stored, 91}}};
-    onCacheEvents(bench.state, b, restarted, bench.now, bench.actions);
+    onCacheEvents(router.state, b, restarted, router.now, router.actions);
     CHECK(homeOf({81, 82}) == "a");
 }
 
 TEST_CASE("a slow endpoint gets less, and is tried again later")
 {
-    Bench bench;
-    bench.list({endpoint("a", 16), endpoint("b", 16)});
-    const auto first = bench.add(bench.make());
-    const auto slow = bench.endpointOf(first);
-    bench.pass(5s);
-    onFirstToken(bench.state, first, bench.now, bench.actions);
-    bench.end(first, AttemptEnd::Completed);
+    TestRouter router;
+    router.listEndpoints({endpoint("a", 16), endpoint("b", 16)});
+    const auto first = router.add(router.make());
+    const auto slow = router.endpointOf(first);
+    router.advance(5s);
+    onFirstToken(router.state, first, router.now, router.actions);
+    router.end(first, AttemptEnd::Completed);
     for (int i = 0; i < 4; ++i) {
-        CHECK(bench.endpointOf(bench.add(bench.make())) != slow);
+        CHECK(router.endpointOf(router.add(router.make())) != slow);
     }
-    bench.pass(120s);
-    CHECK(bench.endpointOf(bench.add(bench.make())) == slow);
+    router.advance(120s);
+    CHECK(router.endpointOf(router.add(router.make())) == slow);
 }
 
 TEST_CASE("a failure to connect is tried elsewhere at once, for any call")
 {
-    Bench bench;
-    bench.list({endpoint("a"), endpoint("b")});
-    auto call = bench.make();
+    TestRouter router;
+    router.listEndpoints({endpoint("a"), endpoint("b")});
+    auto call = router.make();
     call.repeatable = false;
-    const auto id = bench.add(call);
-    const auto first = bench.endpointOf(id);
-    bench.end(id, AttemptEnd::ConnectFailed);
-    CHECK(bench.dispatchesOf(id) == 2);
-    CHECK(bench.endpointOf(id) != first);
-    bench.end(id, AttemptEnd::RejectedNotRun);
-    bench.pass(2s);
-    bench.end(id, AttemptEnd::Completed);
-    CHECK(callsInFlight(bench.state) == 0);
-    CHECK(queuedCalls(bench.state) == 0);
+    const auto id = router.add(call);
+    const auto first = router.endpointOf(id);
+    router.end(id, AttemptEnd::ConnectFailed);
+    CHECK(router.dispatchesOf(id) == 2);
+    CHECK(router.endpointOf(id) != first);
+    router.end(id, AttemptEnd::RejectedNotRun);
+    router.advance(2s);
+    router.end(id, AttemptEnd::Completed);
+    CHECK(callsInFlight(router.state) == 0);
+    CHECK(queuedCalls(router.state) == 0);
 }
 
 TEST_CASE("a call that can't be repeated is never sent again once it may have run")
@@ -273,16 +273,16 @@
         for (const auto how : {AttemptEnd::EndpointCrashed, AttemptEnd::TimedOut}) {
             RoutingOptions options;
             options.faults.retryNotRepeatable = fault;
-            Bench bench(options);
-            bench.list({endpoint("a"), endpoint("b")});
-            auto call = bench.make();
+            TestRouter router(options);
+            router.listEndpoints({endpoint("a"), endpoint("b")});
+            auto call = router.make();
             call.repeatable = false;
-            const auto id = bench.add(call);
-            bench.end(id, how);
-            bench.pass(2s);
-            CHECK(bench.dispatchesOf(id) == (fault ? 2 : 1));
+            const auto id = router.add(call);
+            router.end(id, how);
+            router.advance(2s);
+            CHECK(router.dispatchesOf(id) == (fault ? 2 : 1));
             if (!fault) {
-                checkError(bench.errorOf(id), ErrorKind::OutcomeUnknown, Execution::Unknown);
+                checkError(router.errorOf(id), ErrorKind::OutcomeUnknown, Execution::Unknown);
             }
         }
     }
@@ -297,16 +297,16 @@
         options.retryBurst = 5;
         options.retryFraction = 0.1;
         options.faults.noRetryBudget = fault;
-        Bench bench(options);
-        bench.list({endpoint("a", 100), endpoint("b", 100), endpoint("c", 100), endpoint("d", 100)});
+        TestRouter router(options);
+        router.listEndpoints({endpoint("a", 100), endpoint("b", 100), endpoint("c", 100), endpoint("d", 100)});
         for (int i = 0; i < 100; ++i) {
-            const auto id = bench.add(bench.make());
+            const auto id = router.add(router.make());
             for (int attempt = 0; attempt < 4; ++attempt) {
-                bench.end(id, AttemptEnd::TimedOut);
+                router.end(id, AttemptEnd::TimedOut);
             }
-            checkError(bench.errorOf(id), ErrorKind::EndpointFailed, Execution::Unknown);
+            checkError(router.errorOf(id), ErrorKind::EndpointFailed, Execution::Unknown);
         }
-        CHECK((bench.state.counters.retried <= 15) == !fault);
+        CHECK((router.state.counters.retried <= 15) == !fault);
     }
 }
 
@@ -317,28 +317,28 @@
         RoutingOptions options;
         options.faults.noBreaker = fault;
         options.remotePenalty = 10s;
-        Bench bench(options);
-        bench.list({endpoint("dead", 100), endpoint("far", 100, There)});
+        TestRouter router(options);
+        router.listEndpoints({endpoint("dead", 100), endpoint("far", 100, RemoteDataCentre)});
         int tried = 0;
         for (int i = 0; i < 50; ++i) {
-            const auto id = bench.add(bench.make());
-            if (bench.endpointOf(id) == "dead") {
+            const auto id = router.add(router.make());
+            if (router.endpointOf(id) == "dead") {
                 ++tried;
-                bench.end(id, AttemptEnd::ConnectFailed);
+                router.end(id, AttemptEnd::ConnectFailed);
             }
-            bench.end(id, AttemptEnd::Completed);
+            router.end(id, AttemptEnd::Completed);
         }
         CHECK((tried <= 3) == !fault);
         if (fault) {
             continue;
         }
-        bench.pass(600ms);
-        const auto probe = bench.add(bench.make());
-        const auto other = bench.add(bench.make());
-        CHECK(bench.endpointOf(probe) == "dead");
-        CHECK(bench.endpointOf(other) == "far");
-        bench.end(probe, AttemptEnd::Completed);
-        CHECK(bench.endpointOf(bench.add(bench.make())) == "dead");
+        router.advance(600ms);
+        const auto probe = router.add(router.make());
+        const auto other = router.add(router.make());
+        CHECK(router.endpointOf(probe) == "dead");
+        CHECK(router.endpointOf(other) == "far");
+        router.end(probe, AttemptEnd::Completed);
+        CHECK(router.endpointOf(router.add(router.make())) == "dead");
     }
 }
 
@@ -348,23 +348,23 @@
     for (const bool fault : {false, true}) {
         RoutingOptions options;
         options.faults.ignoreLeaving = fault;
-        Bench bench(options);
-        const std::vector<EndpointSpec> listed = {endpoint("a", 100), endpoint("far", 100, There)};
-        bench.list(listed);
-        endpointLeaving(bench.state, EndpointId("a"), bench.now);
-        bench.list(listed);
-        CHECK((bench.endpointOf(bench.add(bench.make())) == "a") == fault);
+        TestRouter router(options);
+        const std::vector<EndpointSpec> listed = {endpoint("a", 100), endpoint("far", 100, RemoteDataCentre)};
+        router.listEndpoints(listed);
+        markEndpointLeaving(router.state, EndpointId("a"), router.now);
+        router.listEndpoints(listed);
+        CHECK((router.endpointOf(router.add(router.make())) == "a") == fault);
     }
-    Bench bench;
+    TestRouter router;
     auto leaving = endpoint("a", 100);
     leaving.leaving = true;
-    bench.list({leaving});
-    checkError(bench.errorOf(bench.add(bench.make())), ErrorKind::NoEndpoint, Execution::NotRun);
+    router.listEndpoints({leaving});
+    checkError(router.errorOf(router.add(router.make())), ErrorKind::NoEndpoint, Execution::NotRun);
 }
 
 TEST_CASE("a process that several routes list is one: its notices reach all of them and it dies once")
 {
-    Bench bench;
+    TestRouter router;
     std::vector<EndpointSpec> specs;
     for (const char *name : {"a", "b", "c"}) {
         for (const char *route : {"matching", "booking"}) {
@@ -375,42 +375,42 @@
             specs.push_back(spec);
         }
     }
-    bench.list(specs);
-    endpointLeaving(bench.state, EndpointId("c"), bench.now);
+    router.listEndpoints(specs);
+    markEndpointLeaving(router.state, EndpointId("c"), router.now);
     LoadReport report;
     report.running = 90;
-    onLoadReport(bench.state, EndpointId("b"), report, bench.now, bench.actions);
-    auto poison = bench.make();
-    const auto other = bench.make("other");
+    onLoadReport(router.state, EndpointId("b"), report, router.now, router.actions);
+    auto poison = router.make();
+    const auto other = router.make("other");
     auto booking = other;
     booking.route = RouteId("booking");
-    const auto first = bench.add(poison);
-    CHECK(bench.endpointOf(first) == "a/matching");
-    bench.add(booking);
-    CHECK(bench.endpointOf(booking.call) == "a/booking");
-    bench.end(first, AttemptEnd::EndpointCrashed);
-    bench.end(booking.call, AttemptEnd::EndpointCrashed);
-    bench.pass(400ms);
-    CHECK(bench.state.suspects.deaths.size() == 1);
-    CHECK(bench.endpointOf(first) == "b/matching");
-    bench.end(first, AttemptEnd::EndpointCrashed);
-    bench.pass(1s);
-    checkError(bench.errorOf(first), ErrorKind::SuspectRequest, Execution::Unknown);
+    const auto first = router.add(poison);
+    CHECK(router.endpointOf(first) == "a/matching");
+    router.add(booking);
+    CHECK(router.endpointOf(booking.call) == "a/booking");
+    router.end(first, AttemptEnd::EndpointCrashed);
+    router.end(booking.call, AttemptEnd::EndpointCrashed);
+    router.advance(400ms);
+    CHECK(router.state.suspects.deaths.size() == 1);
+    CHECK(router.endpointOf(first) == "b/matching");
+    router.end(first, AttemptEnd::EndpointCrashed);
+    router.advance(1s);
+    checkError(router.errorOf(first), ErrorKind::SuspectRequest, Execution::Unknown);
 }
 
 TEST_CASE("an endpoint that is no longer listed keeps its calls and gets no new ones")
 {
-    Bench bench;
-    bench.list({endpoint("a"), endpoint("far", 4, There)});
-    const auto running = bench.add(bench.make());
-    bench.list({endpoint("far", 4, There)});
-    CHECK(bench.endpointOf(bench.add(bench.make())) == "far");
-    bench.end(running, AttemptEnd::Completed);
-    CHECK_FALSE(bench.errorOf(running));
-    bench.list({endpoint("far", 4, There)});
-    CHECK(bench.state.endpointIndex.count(EndpointId("a")) == 0);
-    bench.list({endpoint("b"), endpoint("far", 4, There)});
-    CHECK(bench.state.endpoints.size() == 2);
+    TestRouter router;
+    router.listEndpoints({endpoint("a"), endpoint("far", 4, RemoteDataCentre)});
+    const auto running = router.add(router.make());
+    router.listEndpoints({endpoint("far", 4, RemoteDataCentre)});
+    CHECK(router.endpointOf(router.add(router.make())) == "far");
+    router.end(running, AttemptEnd::Completed);
+    CHECK_FALSE(router.errorOf(running));
+    router.listEndpoints({endpoint("far", 4, RemoteDataCentre)});
+    CHECK(router.state.endpointIndex.count(EndpointId("a")) == 0);
+    router.listEndpoints({endpoint("b"), endpoint("far", 4, RemoteDataCentre)});
+    CHECK(router.state.endpoints.size() == 2);
 }
 
 TEST_CASE("one customer's flood does not hold up the others")
@@ -421,18 +421,18 @@
         RoutingOptions options;
         options.maxQueueWait = 60s;
         options.faults.firstComeFirstServed = fault;
-        Bench bench(options);
-        bench.list({endpoint("a", 1)});
+        TestRouter router(options);
+        router.listEndpoints({endpoint("a", 1)});
         std::vector<CallId> flood;
         flood.reserve(100);
         for (int i = 0; i < 100; ++i) {
-            flood.push_back(bench.add(bench.make("flood")));
+            flood.push_back(router.add(router.make("flood")));
         }
-        const auto small = bench.add(bench.make("small"));
+        const auto small = router.add(router.make("small"));
         for (int i = 0; i < 2; ++i) {
-            bench.end(flood[static_cast<std::size_t>(i)], AttemptEnd::Completed);
+            router.end(flood[static_cast<std::size_t>(i)], AttemptEnd::Completed);
         }
-        CHECK((bench.dispatchesOf(small) == 1) == !fault);
+        CHECK((router.dispatchesOf(small) == 1) == !fault);
     }
 }
 
@@ -441,18 +441,18 @@
     RoutingOptions options;
     options.maxQueued = 10;
     options.maxQueueWait = 60s;
-    Bench bench(options);
-    bench.list({endpoint("a", 1)});
+    TestRouter router(options);
+    router.listEndpoints({endpoint("a", 1)});
     std::vector<CallId> flood;
     flood.reserve(12);
     for (int i = 0; i < 12; ++i) {
-        flood.push_back(bench.add(bench.make("flood")));
+        flood.push_back(router.add(router.make("flood")));
     }
-    checkError(bench.errorOf(flood[11]), ErrorKind::Overloaded, Execution::NotRun);
-    const auto small = bench.add(bench.make("small"));
-    CHECK_FALSE(bench.errorOf(small));
-    checkError(bench.errorOf(flood[10]), ErrorKind::Overloaded, Execution::NotRun);
-    CHECK(bench.errorOf(flood[10])->retryAfter);
+    checkError(router.errorOf(flood[11]), ErrorKind::Overloaded, Execution::NotRun);
+    const auto small = router.add(router.make("small"));
+    CHECK_FALSE(router.errorOf(small));
+    checkError(router.errorOf(flood[10]), ErrorKind::Overloaded, Execution::NotRun);
+    CHECK(router.errorOf(flood[10])->retryAfter);
 }
 
 TEST_CASE("a call that can't be met in time is refused at once, with when to come back")
@@ -463,22 +463,22 @@
         RoutingOptions options;
         options.maxQueueWait = 60s;
         options.faults.noEarlyRefusal = fault;
-        Bench bench(options);
-        bench.list({endpoint("a", 1)});
-        const auto first = bench.add(bench.make());
-        bench.pass(1s);
-        bench.end(first, AttemptEnd::Completed);
+        TestRouter router(options);
+        router.listEndpoints({endpoint("a", 1)});
+        const auto first = router.add(router.make());
+        router.advance(1s);
+        router.end(first, AttemptEnd::Completed);
         for (int i = 0; i < 50; ++i) {
-            bench.add(bench.make());
+            router.add(router.make());
         }
-        auto call = bench.make();
-        call.deadline = bench.now + 2s;
-        const auto late = bench.add(call);
-        CHECK(bench.errorOf(late).has_value() == !fault);
-        bench.pass(3s);
-        checkError(bench.errorOf(late), ErrorKind::DeadlineTooShort, Execution::NotRun);
+        auto call = router.make();
+        call.deadline = router.now + 2s;
+        const auto late = router.add(call);
+        CHECK(router.errorOf(late).has_value() == !fault);
+        router.advance(3s);
+        checkError(router.errorOf(late), ErrorKind::DeadlineTooShort, Execution::NotRun);
         if (!fault) {
-            CHECK(bench.errorOf(late)->retryAfter > 1s);
+            CHECK(router.errorOf(late)->retryAfter > 1s);
         }
     }
 }
@@ -487,31 +487,31 @@
 {
     RoutingOptions options;
     options.maxQueueWait = 500ms;
-    Bench bench(options);
-    bench.list({endpoint("a", 1)});
-    bench.add(bench.make());
-    const auto waiting = bench.add(bench.make());
-    bench.pass(499ms);
-    CHECK_FALSE(bench.errorOf(waiting));
-    bench.pass(2ms);
-    checkError(bench.errorOf(waiting), ErrorKind::Overloaded, Execution::NotRun);
-    CHECK(queuedCalls(bench.state) == 0);
+    TestRouter router(options);
+    router.listEndpoints({endpoint("a", 1)});
+    router.add(router.make());
+    const auto waiting = router.add(router.make());
+    router.advance(499ms);
+    CHECK_FALSE(router.errorOf(waiting));
+    router.advance(2ms);
+    checkError(router.errorOf(waiting), ErrorKind::Overloaded, Execution::NotRun);
+    CHECK(queuedCalls(router.state) == 0);
 }
 
 TEST_CASE("cancelled calls leave no trace and make room")
 {
-    Bench bench;
-    bench.list({endpoint("a", 1)});
-    const auto running = bench.add(bench.make());
-    const auto waiting = bench.add(bench.make());
-    const auto last = bench.add(bench.make());
-    cancelCall(bench.state, waiting, bench.now, bench.actions);
-    cancelCall(bench.state, running, bench.now, bench.actions);
-    CHECK(bench.dispatchesOf(last) == 1);
-    CHECK(bench.dispatchesOf(waiting) == 0);
-    CHECK(callsInFlight(bench.state) == 1);
-    CHECK(queuedCalls(bench.state) == 0);
-    bench.end(running, AttemptEnd::Completed);
-    bench.end(waiting, AttemptEnd::Completed);
-    CHECK(callsInFlight(bench.state) == 1);
+    TestRouter router;
+    router.listEndpoints({endpoint("a", 1)});
+    const auto running = router.add(router.make());
+    const auto waiting = router.add(router.make());
+    const auto last = router.add(router.make());
+    cancelCall(router.state, waiting, router.now, router.actions);
+    cancelCall(router.state, running, router.now, router.actions);
+    CHECK(router.dispatchesOf(last) == 1);
+    CHECK(router.dispatchesOf(waiting) == 0);
+    CHECK(callsInFlight(router.state) == 1);
+    CHECK(queuedCalls(router.state) == 0);
+    router.end(running, AttemptEnd::Completed);
+    router.end(waiting, AttemptEnd::Completed);
+    CHECK(callsInFlight(router.state) == 1);
 }
--- a/godwit/routing/sim_fleet.cpp
+++ b/godwit/routing/sim_fleet.cpp
@@ -102,14 +102,14 @@
         setRouterCount(m_routers[i].state, static_cast<int>(options.routers));
         std::vector<RoutingAction> actions;
         setEndpoints(m_routers[i].state, m_specs, clock.now, actions);
-        carryOut(i, actions);
+        perform(i, actions);
     }
-    planArrival(false);
+    scheduleArrival(false);
     if (options.floodRate > 0) {
-        planArrival(true);
+        scheduleArrival(true);
     }
     for (int i = 0; i < options.poison.requests; ++i) {
-        planPoison(i);
+        schedulePoison(i);
     }
 }
 
@@ -128,7 +128,7 @@
     m_arriving = false;
 }
 
-void Fleet::planArrival(bool flood)
+void Fleet::scheduleArrival(bool flood)
 {
     const double rate = flood ? m_options.floodRate : m_options.rate;
     clock.after(seconds(-std::log(1 - uniform()) / rate), [this, flood] {
@@ -136,11 +136,11 @@
             return;
         }
         arrive(flood ? 0 : pickCustomer(), false, 0, 0);
-        planArrival(flood);
+        scheduleArrival(flood);
     });
 }
 
-void Fleet::planPoison(int number)
+void Fleet::schedulePoison(int number)
 {
     clock.after(m_options.poison.every * (number + 1), [this, number] {
         arrive(pickCustomer(), true, static_cast<std::uint64_t>(number), m_options.poison.sends - 1);
@@ -223,23 +223,23 @@
     const auto router = request.router;
     m_requests[id] = std::move(request);
     clock.after(m_options.networkDelay, [this, router, id] {
-        take(router, id);
+        receive(router, id);
     });
 }
 
-void Fleet::take(std::size_t router, std::uint64_t id)
+void Fleet::receive(std::size_t router, std::uint64_t id)
 {
     if (m_options.policy != Policy::Godwit) {
         if (const auto engine = baselineChoice(router)) {
             dispatch(router, id, *engine);
         } else {
-            onGiveUp(id, Error{ErrorKind::Overloaded, "all engines are busy", Execution::NotRun, std::nullopt});
+            onCallFailed(id, Error{ErrorKind::Overloaded, "all engines are busy", Execution::NotRun, std::nullopt});
         }
         return;
     }
     std::vector<RoutingAction> actions;
     enqueue(m_routers[router].state, m_requests.at(id).pending, clock.now, actions);
-    carryOut(router, actions);
+    perform(router, actions);
 }
 
 std::optional<std::size_t> Fleet::baselineChoice(std::size_t index)
@@ -273,15 +273,15 @@
     return loadOf(a) <= loadOf(b) ? a : b;
 }
 
-void Fleet::carryOut(std::size_t router, const std::vector<RoutingAction> &actions)
+void Fleet::perform(std::size_t router, const std::vector<RoutingAction> &actions)
 {
     for (const auto &action : actions) {
         if (const auto *sent = std::get_if<Dispatch>(&action)) {
             dispatch(router, sent->call.value, m_engineOf.at(sent->endpoint));
-        } else if (const auto *refused = std::get_if<GiveUp>(&action)) {
-            onGiveUp(refused->call.value, refused->error);
-        } else if (const auto *told = std::get_if<TellSuspect>(&action)) {
-            tell(router, told->notice);
+        } else if (const auto *refused = std::get_if<FailCall>(&action)) {
+            onCallFailed(refused->call.value, refused->error);
+        } else if (const auto *told = std::get_if<BroadcastSuspect>(&action)) {
+            sendNotice(router, told->notice);
         }
     }
     scheduleWake(router);
@@ -302,14 +302,14 @@
         }
         std::vector<RoutingAction> actions;
         onTick(m_routers[index].state, clock.now, actions);
-        carryOut(index, actions);
+        perform(index, actions);
     });
 }
 
 Duration Fleet::delayBetween(std::size_t router, std::size_t engine) const
 {
     const bool near = router % m_options.dataCentres == engine % m_options.dataCentres;
-    return near ? m_options.networkDelay : m_options.farDelay;
+    return near ? m_options.networkDelay : m_options.crossDataCentreDelay;
 }
 
 void Fleet::dispatch(std::size_t router, std::uint64_t id, std::size_t engine)
@@ -363,7 +363,7 @@
             m_result.customers[request.customer].inTime += time <= InTimeSeconds ? 1 : 0;
         }
         onFirstToken(state, CallId(id), clock.now, actions);
-        carryOut(router, actions);
+        perform(router, actions);
         return;
     }
     --m_routers[router].connections[engine];
@@ -375,10 +375,10 @@
         const auto end = event == EngineEvent::Crashed ? AttemptEnd::EndpointCrashed : AttemptEnd::ConnectFailed;
         onAttemptEnded(state, CallId(id), end, clock.now, actions);
     }
-    carryOut(router, actions);
+    perform(router, actions);
 }
 
-void Fleet::onGiveUp(std::uint64_t id, const Error &error)
+void Fleet::onCallFailed(std::uint64_t id, const Error &error)
 {
     const auto request = m_requests.at(id);
     m_requests.erase(id);
@@ -402,7 +402,7 @@
     }
 }
 
-void Fleet::tell(std::size_t from, const SuspectNotice &notice)
+void Fleet::sendNotice(std::size_t from, const SuspectNotice &notice)
 {
     for (std::size_t i = 0; i < m_routers.size(); ++i) {
         if (i == from) {
@@ -413,7 +413,7 @@
             late.age += m_options.noticeDelay;
             std::vector<RoutingAction> actions;
             onSuspectNotice(m_routers[i].state, late, clock.now, actions);
-            carryOut(i, actions);
+            perform(i, actions);
         });
     }
 }
@@ -439,7 +439,7 @@
             if (!lost && !events.events.empty()) {
                 onCacheEvents(m_routers[i].state, m_specs[engine].id, events, clock.now, actions);
             }
-            carryOut(i, actions);
+            perform(i, actions);
         }
     });
 }
--- a/godwit/routing/sim_fleet.h
+++ b/godwit/routing/sim_fleet.h
@@ -68,7 +68,7 @@
     double outputTokens = 150;
     Duration deadline = std::chrono::seconds(10);
     Duration networkDelay = std::chrono::milliseconds(1);
-    Duration farDelay = std::chrono::milliseconds(2);
+    Duration crossDataCentreDelay = std::chrono::milliseconds(2);
     Duration reportEvery = std::chrono::milliseconds(500);
     Duration reportDelay = std::chrono::milliseconds(200);
     // Part of the cache event batches that are lost.
@@ -132,21 +132,21 @@
     struct Request;
     struct Router;
 
-    void planArrival(bool flood);
-    void planPoison(int number);
+    void scheduleArrival(bool flood);
+    void schedulePoison(int number);
     void arrive(std::size_t customer, bool poison, std::uint64_t number, int sends);
     Request makeRequest(std::size_t customer);
     std::size_t pickCustomer();
     std::size_t pickRouter(std::size_t customer);
-    void take(std::size_t router, std::uint64_t id);
-    void carryOut(std::size_t router, const std::vector<RoutingAction> &actions);
+    void receive(std::size_t router, std::uint64_t id);
+    void perform(std::size_t router, const std::vector<RoutingAction> &actions);
     void scheduleWake(std::size_t router);
     void dispatch(std::size_t router, std::uint64_t id, std::size_t engine);
     std::optional<std::size_t> baselineChoice(std::size_t router);
     void onEngine(std::size_t engine, EngineEvent event, const Job &job);
     void onRouterEvent(std::size_t engine, EngineEvent event, std::size_t router, std::uint64_t id);
-    void onGiveUp(std::uint64_t id, const Error &error);
-    void tell(std::size_t router, const SuspectNotice &notice);
+    void onCallFailed(std::uint64_t id, const Error &error);
+    void sendNotice(std::size_t router, const SuspectNotice &notice);
     void report(std::size_t engine);
     Duration delayBetween(std::size_t router, std::size_t engine) const;
     double uniform();
--- a/godwit/routing/suspects_test.cpp
+++ b/godwit/routing/suspects_test.cpp
@@ -34,51 +34,51 @@
 
 TEST_CASE("one death condemns nobody")
 {
-    SuspectTracker book;
-    recordSuspect(book, death("a", 0s), 7);
-    CHECK(evaluateSuspect(book, 7, Start + 1s) == Verdict::Suspected);
-    CHECK(verdictFor(book, 8, Start + 1s) == Verdict::Unsuspected);
+    SuspectTracker tracker;
+    recordSuspect(tracker, death("a", 0s), 7);
+    CHECK(evaluateSuspect(tracker, 7, Start + 1s) == Verdict::Suspected);
+    CHECK(verdictFor(tracker, 8, Start + 1s) == Verdict::Unsuspected);
 }
 
 TEST_CASE("the only one in flight at two deaths is convicted, and the refusal ends")
 {
-    SuspectTracker book;
+    SuspectTracker tracker;
     for (const std::uint64_t fingerprint : {7, 8, 9}) {
-        recordSuspect(book, death("a", 0s), fingerprint);
+        recordSuspect(tracker, death("a", 0s), fingerprint);
     }
     for (const std::uint64_t fingerprint : {7, 10}) {
-        recordSuspect(book, death("b", 1s), fingerprint);
+        recordSuspect(tracker, death("b", 1s), fingerprint);
     }
-    CHECK(evaluateSuspect(book, 8, Start + 2s) == Verdict::Suspected);
-    CHECK(evaluateSuspect(book, 7, Start + 2s) == Verdict::Convicted);
-    CHECK(verdictFor(book, 7, Start + 10min) == Verdict::Convicted);
-    removeExpiredSuspects(book, Start + 3h);
-    CHECK(verdictFor(book, 7, Start + 3h) == Verdict::Unsuspected);
-    CHECK(book.deathCount.empty());
+    CHECK(evaluateSuspect(tracker, 8, Start + 2s) == Verdict::Suspected);
+    CHECK(evaluateSuspect(tracker, 7, Start + 2s) == Verdict::Convicted);
+    CHECK(verdictFor(tracker, 7, Start + 10min) == Verdict::Convicted);
+    removeExpiredSuspects(tracker, Start + 3h);
+    CHECK(verdictFor(tracker, 7, Start + 3h) == Verdict::Unsuspected);
+    CHECK(tracker.deathCount.empty());
 }
 
 TEST_CASE("two that were at the same two deaths are told apart before either is convicted")
 {
-    SuspectTracker book;
+    SuspectTracker tracker;
     for (const char *endpoint : {"a", "b"}) {
         const auto after = endpoint[0] == 'a' ? 0s : 1s;
-        recordSuspect(book, death(endpoint, after), 7);
-        recordSuspect(book, death(endpoint, after), 8);
+        recordSuspect(tracker, death(endpoint, after), 7);
+        recordSuspect(tracker, death(endpoint, after), 8);
     }
-    CHECK(evaluateSuspect(book, 7, Start + 2s) == Verdict::Suspected);
-    CHECK(evaluateSuspect(book, 8, Start + 2s) == Verdict::Suspected);
-    CHECK(suspectRank(book, 7) != suspectRank(book, 8));
-    recordSuspect(book, death("c", 3s), 7);
-    CHECK(evaluateSuspect(book, 8, Start + 4s) == Verdict::Suspected);
-    CHECK(evaluateSuspect(book, 7, Start + 4s) == Verdict::Convicted);
+    CHECK(evaluateSuspect(tracker, 7, Start + 2s) == Verdict::Suspected);
+    CHECK(evaluateSuspect(tracker, 8, Start + 2s) == Verdict::Suspected);
+    CHECK(suspectRank(tracker, 7) != suspectRank(tracker, 8));
+    recordSuspect(tracker, death("c", 3s), 7);
+    CHECK(evaluateSuspect(tracker, 8, Start + 4s) == Verdict::Suspected);
+    CHECK(evaluateSuspect(tracker, 7, Start + 4s) == Verdict::Convicted);
 }
 
 TEST_CASE("the same endpoint that dies twice is one endpoint")
 {
-    SuspectTracker book;
-    recordSuspect(book, death("a", 0s), 7);
-    recordSuspect(book, death("a", 30s), 7);
-    CHECK(evaluateSuspect(book, 7, Start + 40s) == Verdict::Suspected);
+    SuspectTracker tracker;
+    recordSuspect(tracker, death("a", 0s), 7);
+    recordSuspect(tracker, death("a", 30s), 7);
+    CHECK(evaluateSuspect(tracker, 7, Start + 40s) == Verdict::Suspected);
 }
 
 TEST_CASE("deaths of one host together condemn nobody")
@@ -86,38 +86,38 @@
     // A host with two endpoints fails. The request was on one of them and was sent again to the other, which seemed
     // alive for some milliseconds more; others died there too. Without the rule it is refused for an hour.
     for (const bool hostsKnown : {true, false}) {
-        SuspectTracker book;
-        recordSuspect(book, death("a", 0ms, hostsKnown ? "h1" : ""), 7);
-        recordSuspect(book, death("b", 20ms, hostsKnown ? "h1" : ""), 8);
-        recordSuspect(book, death("c", 5s, hostsKnown ? "h2" : ""), 7);
-        CHECK((evaluateSuspect(book, 7, Start + 6s) == Verdict::Suspected) == hostsKnown);
+        SuspectTracker tracker;
+        recordSuspect(tracker, death("a", 0ms, hostsKnown ? "h1" : ""), 7);
+        recordSuspect(tracker, death("b", 20ms, hostsKnown ? "h1" : ""), 8);
+        recordSuspect(tracker, death("c", 5s, hostsKnown ? "h2" : ""), 7);
+        CHECK((evaluateSuspect(tracker, 7, Start + 6s) == Verdict::Suspected) == hostsKnown);
     }
 }
 
 TEST_CASE("a failure of many endpoints is nobody's fault, unless they share a request")
 {
-    SuspectTracker book;
-    recordSuspect(book, death("a", 0ms), 1);
-    recordSuspect(book, death("b", 10ms), 2);
-    CHECK_FALSE(isWidespreadFailure(book, Start));
-    recordSuspect(book, death("c", 20ms), 3);
-    CHECK(isWidespreadFailure(book, Start));
+    SuspectTracker tracker;
+    recordSuspect(tracker, death("a", 0ms), 1);
+    recordSuspect(tracker, death("b", 10ms), 2);
+    CHECK_FALSE(isWidespreadFailure(tracker, Start));
+    recordSuspect(tracker, death("c", 20ms), 3);
+    CHECK(isWidespreadFailure(tracker, Start));
     for (const char *endpoint : {"a", "b", "c"}) {
-        recordSuspect(book, death(endpoint, 10ms), 99);
+        recordSuspect(tracker, death(endpoint, 10ms), 99);
     }
-    CHECK_FALSE(isWidespreadFailure(book, Start));
+    CHECK_FALSE(isWidespreadFailure(tracker, Start));
 }
 
 TEST_CASE("a death that was none is taken back")
 {
-    SuspectTracker book;
-    recordSuspect(book, death("a", 0s), 7);
-    recordSuspect(book, death("b", 1s), 7);
-    const auto cleared = retractDeath(book, EndpointId("b"), Start + 1s);
+    SuspectTracker tracker;
+    recordSuspect(tracker, death("a", 0s), 7);
+    recordSuspect(tracker, death("b", 1s), 7);
+    const auto cleared = retractDeath(tracker, EndpointId("b"), Start + 1s);
     CHECK(cleared == std::vector<std::uint64_t>{7});
-    CHECK(evaluateSuspect(book, 7, Start + 2s) == Verdict::Suspected);
-    clearEvidenceAt(book, EndpointId("a"), 7);
-    CHECK(verdictFor(book, 7, Start + 2s) == Verdict::Unsuspected);
+    CHECK(evaluateSuspect(tracker, 7, Start + 2s) == Verdict::Suspected);
+    clearEvidenceAt(tracker, EndpointId("a"), 7);
+    CHECK(verdictFor(tracker, 7, Start + 2s) == Verdict::Unsuspected);
 }
 
 TEST_CASE("a request that crashes its endpoints takes two down fleet-wide, and no innocent is refused")
