--- a/godwit/routing/addresses.cpp
+++ b/godwit/routing/addresses.cpp
@@ -35,9 +35,9 @@
     return sum / static_cast<double>(candidates.size());
 }
 
-// A host above the bound passes on a part of its callers, chosen by chance, so that its load moves by a little where
-// whole customers would make it jump. Half of the excess at a time: answers are kept for long, and a correction by all
-// of it overshoots and swings.
+// A host above the bound diverts a random part of its callers, so that its load changes gradually; moving whole
+// customers would make it jump. Only half of the excess is diverted at a time: answers are kept for long, and a
+// correction by the whole excess overshoots and oscillates.
 bool isDiverted(const RouterAddress &router, const AddressOptions &options, double bound)
 {
     constexpr double gain = 0.5;
@@ -73,15 +73,15 @@
     return candidates;
 }
 
-// Hosts over which the customer's callers are spread.
+// Returns the number of hosts over which the callers of the customer are spread.
 std::size_t activeHostCount(std::size_t hosts, const AddressOptions &options)
 {
     const double wanted = std::ceil(options.customerShare * static_cast<double>(hosts) * options.spread);
     return static_cast<std::size_t>(std::clamp(wanted, 1.0, static_cast<double>(hosts)));
 }
 
-// Brings hosts to turn to behind the `active` ones: first one of a data centre that has none of those, so that the
-// caller gets through when a data centre goes.
+// Orders the fallback hosts behind the `active` ones: first one in a data centre that has no active host, so that
+// callers still reach a router when a data centre fails.
 void orderFallbacks(std::vector<Candidate> &candidates, std::size_t active)
 {
     const auto first = candidates.begin() + static_cast<std::ptrdiff_t>(active);
--- a/godwit/routing/addresses.h
+++ b/godwit/routing/addresses.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The answer to callers that ask which router hosts to use.
+// Chooses the router hosts that a caller should use.
 //
-// Rendezvous hashing keeps a customer on few hosts, so that its budget is held in few slices, and moves only the
-// customers of a host that goes away. A host whose load is above the bound passes on a part of its callers. A pure
-// function of its arguments: all routers give a customer the same hosts from the same view of the fleet.
+// Rendezvous hashing keeps each customer on few hosts, so that its budget is divided into few parts, and moves only the
+// customers of a host that fails. A host whose load exceeds the bound diverts a part of its callers. A pure function of
+// its arguments: all routers choose the same hosts for a customer from the same view of the fleet.
 //
 // Example:
 //   const AddressAnswer answer = chooseAddresses(live, customer, options);
@@ -27,36 +27,38 @@
     // What callers connect to, such as "10.0.1.7:8080".
     std::string address;
     bool leaving = false;
-    // Any measure of the traffic that it carries, in the same unit for all routers.
+    // Traffic of the router, in any unit that is the same for all routers.
     double load = 0;
 };
 
 struct AddressOptions
 {
-    // The customer's part of the whole fleet's traffic, from 0 to 1.
+    // Fraction of the traffic of the whole fleet that is of this customer, from 0 to 1.
     double customerShare = 0;
-    // Hosts that even the smallest customer is given: one to use and others to turn to when it fails.
+    // Least number of hosts in the answer, also for the smallest customer: one to use and the others as fallbacks.
     int minHosts = 2;
-    // Hosts given for each host's worth of the customer's traffic.
+    // Hosts in the answer for each host's worth of the customer's traffic.
     double spread = 1.5;
-    // A host's load may reach this multiple of the mean before callers are passed on.
+    // Callers are diverted from a host whose load exceeds this multiple of the mean.
     double loadBound = 1.25;
-    // The caller's data centre, when it is known; its hosts come first in the answer.
+    // Data centre of the caller, empty when unknown. Its hosts come first in the answer.
     DataCentreId callerDataCentre;
-    // Differs from answer to answer, such as a random number: spreads a customer's callers over its hosts.
+    // Should differ between answers, such as a random number or a counter. Spreads the callers of a customer over its
+    // hosts.
     std::uint64_t selector = 0;
     Duration ttl = std::chrono::seconds(30);
 };
 
 struct AddressAnswer
 {
-    // In the order in which the caller should try them. Empty when no router is live.
+    // In the order of preference. Empty when no router is live.
     std::vector<std::string> addresses;
-    // When the caller should ask again.
+    // Time after which the caller should request a new answer.
     Duration ttl{};
 };
 
-// Chooses among the `live` routers for a caller of `customer`. Leaving hosts are given only when no other is live.
+// Chooses among the `live` routers for a caller of `customer`. Leaving hosts are included only when all hosts are
+// leaving.
 AddressAnswer chooseAddresses(const std::vector<RouterAddress> &live,
                               const CustomerId &customer,
                               const AddressOptions &options);
--- a/godwit/routing/attempt_failure.cpp
+++ b/godwit/routing/attempt_failure.cpp
@@ -48,9 +48,8 @@
     context.out.emplace_back(BroadcastSuspect{std::move(notice)});
 }
 
-// Decides whether a call that has failed is sent again. Calls that may have run are sent again only when they are
-// repeatable, and only while retries are a small part of the traffic: a route that fails all calls would otherwise get
-// a multiple of them.
+// Decides whether a failed call is retried. A call that may have run is retried only when it is repeatable, and only
+// within the retry budget: otherwise a route that fails all calls would get a multiple of them.
 bool mayRetry(EventContext &context, const RoutedCall &call)
 {
     auto &state = context.state;
@@ -79,7 +78,8 @@
     failCall(context,
              id,
              kind,
-             repeatable ? "the endpoints failed on it" : "the endpoint failed after the request was sent");
+             repeatable ? "all attempts to run the request failed"
+                        : "the attempt failed after the request was sent; it may have run");
 }
 
 void retryOrFail(EventContext &context, CallId id)
@@ -95,7 +95,7 @@
     dispatchRoute(context, route);
 }
 
-// Notes the call among those in flight at a dying endpoint and tells the other routers.
+// Records the call as in flight at a dying endpoint and notifies the other routers.
 void recordSuspectCall(EventContext &context, RoutedEndpoint &endpoint, const RoutedCall &call)
 {
     auto &state = context.state;
@@ -111,8 +111,8 @@
     if (!recordSuspect(state.suspects, death, fingerprint)) {
         return;
     }
-    // When a data centre goes, thousands of calls fail at once: telling them all would flood the routers, and the
-    // deaths count against nobody anyway.
+    // When a data centre fails, thousands of calls fail at once. Notices for all of them would flood the routers, and a
+    // widespread failure is not evidence against any request.
     const bool told = endpoint.noticesSent >= state.options.maxNoticesPerDeath;
     if (told || isWidespreadFailure(state.suspects, context.now)) {
         return;
@@ -146,7 +146,7 @@
     return state.options.faults.noSuspects;
 }
 
-// With the fault, everyone who was in flight at one death is refused.
+// With RoutingFaults::convictOnFirstDeath, every request in flight at a death is refused.
 void convictImmediately(EventContext &context, std::uint64_t fingerprint)
 {
     recordConviction(context.state.suspects, fingerprint, context.now + context.state.options.suspects.refuseFor);
@@ -190,7 +190,7 @@
     }
     ++context.state.counters.refusedSuspects;
     failCall(
-        context, call.pending.call, ErrorKind::SuspectRequest, "endpoints died each time that they ran this request");
+        context, call.pending.call, ErrorKind::SuspectRequest, "endpoints crashed each time they ran this request");
     return true;
 }
 
@@ -312,8 +312,8 @@
     const bool survivors = std::any_of(endpoint.inFlight.begin(), endpoint.inFlight.end(), [&](CallId id) {
         return state.calls.at(id).dispatchedAt < endpoint.diedAt;
     });
-    // One broken connection among others that go on is no death. And when many endpoints die together, nobody in
-    // flight there is to blame.
+    // When calls sent before the crash are still in flight, a single connection broke and the endpoint is alive. When
+    // many endpoints die together, no request in flight is the cause.
     if (survivors) {
         closeBreaker(endpoint);
     }
--- a/godwit/routing/attempt_failure.h
+++ b/godwit/routing/attempt_failure.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What follows when an attempt fails: another attempt, the call's end, and the search for requests that crash
-// endpoints. Used by the event functions of routing.h.
+// Handling of failed attempts: retries, the end of the call, and the detection of requests that crash endpoints. Used
+// by the event functions of routing.h.
 
 #include "godwit/routing/call_dispatch.h"
 
@@ -11,30 +11,30 @@
 namespace Godwit::internal
 {
 
-// The connection broke after bytes were sent.
+// The connection broke after bytes of the request were sent.
 void onCrash(EventContext &context, CallId call);
 
-// No byte was sent.
+// No byte of the request was sent.
 void onConnectFailure(EventContext &context, CallId call);
 
-// The endpoint said that it did not run the call.
+// The endpoint declared that it did not run the call.
 void onRejection(EventContext &context, CallId call);
 
 void onTimeout(EventContext &context, CallId call);
 
-// A call of a suspect fingerprint ended well: it is innocent.
+// Clears the fingerprint of a call that completed, if it was suspect.
 void clearByCompletion(EventContext &context, const RoutedCall &call);
 
-// Ends a waiting call whose fingerprint has been convicted. Returns whether it did.
+// Ends a waiting call whose fingerprint has been convicted. Returns whether it did so.
 bool refuseIfConvicted(EventContext &context, const RoutedCall &call);
 
-// The time of a held call has come: judge it, or send it again.
+// Handles the end of a quarantine: evaluates the evidence, then refuses the call or queues it for its trial.
 void onQuarantineEnd(EventContext &context, CallId call);
 
-// The other calls of an endpoint that seemed to die must have failed by now.
+// Decides whether a crash was the death of the endpoint, once the other calls in flight there should have failed too.
 void confirmEndpointDeath(EventContext &context, std::uint32_t endpoint);
 
-// For a new call: when a suspect may be tried, nothing for those that are not suspected.
+// Returns the time from which a suspect may be tried, or nothing when the call is not suspect.
 std::optional<TimePoint> suspectTrialAt(EventContext &context, const RoutedCall &call);
 
 } // namespace Godwit::internal
--- a/godwit/routing/call_dispatch.cpp
+++ b/godwit/routing/call_dispatch.cpp
@@ -13,14 +13,14 @@
 namespace
 {
 
-// Completions fade out of the rate over this time.
+// Time constant of the decay of the completion rate.
 constexpr Duration RateTimeConstant = std::chrono::seconds(2);
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(100);
 constexpr Duration MaxRetryAfter = std::chrono::seconds(30);
 constexpr Duration NoEndpointRetryAfter = std::chrono::seconds(1);
-// Suspects that find no endpoint of their own are tried again after this.
+// Interval between the attempts to find an endpoint for a suspect.
 constexpr Duration SuspectRetryInterval = std::chrono::milliseconds(50);
-// Calls to send again that one event looks at in vain.
+// Retries that may fail to find an endpoint before the rest of the list is left for a later event.
 constexpr int MaxUndispatchedRetries = 16;
 
 Duration fromSeconds(double seconds)
@@ -61,8 +61,9 @@
     return meter.count * std::exp(-toSeconds(now - meter.at) / toSeconds(RateTimeConstant));
 }
 
-// Calls a second that the route takes from this router's queue: what it has completed lately, or this router's part of
-// what its endpoints can do; after a calm time the former says little. Zero when nothing is known.
+// Estimates how many calls per second the route serves from this router's queue: its recent completions, or this
+// router's share of the capacity of its endpoints, whichever is more, because after a quiet period the completions say
+// little. Zero when nothing is known.
 double drainRate(const EventContext &context, const RoutedRoute &route)
 {
     const double measured = decayedCount(route.completions, context.now) / toSeconds(RateTimeConstant);
@@ -73,7 +74,7 @@
     return std::max(measured, possible);
 }
 
-// Takes the call out of whatever holds it.
+// Removes the call from its queue, retry list or quarantine; does nothing for a call in flight.
 void removeFromQueues(EventContext &context, RoutedCall &call)
 {
     auto &route = context.state.routes[call.route];
@@ -132,7 +133,7 @@
     context.out.emplace_back(Dispatch{call.pending.call, endpoint.spec.id, call.attempts});
 }
 
-// Sends one waiting call out, or ends it when it has been convicted meanwhile. Returns whether it left its queue.
+// Dispatches a waiting call, or ends it when its fingerprint has been convicted. Returns whether it left its queue.
 bool tryDispatch(EventContext &context, RoutedCall &call, Choice &choice)
 {
     if (refuseIfConvicted(context, call)) {
@@ -169,7 +170,7 @@
     }
 }
 
-// A call whose turn it is stays the customer's charge even when it leaves by another way than an endpoint.
+// A call that leaves the front of the queue by conviction or quarantine is removed without charging its customer.
 void dispatchQueue(EventContext &context, std::uint32_t index)
 {
     auto &queue = context.state.routes[index].queue;
@@ -196,7 +197,7 @@
     }
 }
 
-// A call that would only be refused after waiting is refused at once: its caller can still go elsewhere, and the
+// Refuses a call at once when it would otherwise be refused after waiting: its caller can still go elsewhere, and the
 // calls behind it wait less.
 std::optional<Error> earlyRefusal(const EventContext &context, const RoutedCall &call)
 {
@@ -212,17 +213,21 @@
     const auto retryAfter = std::clamp(wait, MinRetryAfter, MaxRetryAfter);
     if (context.now + wait + fromSeconds(route.firstTokenSeconds) > call.pending.deadline) {
         return Error{ErrorKind::DeadlineTooShort,
-                     "the wait for an endpoint is longer than the deadline allows",
+                     "the expected wait for an endpoint exceeds the deadline of the request",
                      Execution::NotRun,
                      retryAfter};
     }
     if (context.now + wait > call.queuedUntil) {
-        return Error{ErrorKind::Overloaded, "the wait for an endpoint is too long", Execution::NotRun, retryAfter};
+        return Error{ErrorKind::Overloaded,
+                     "the expected wait for an endpoint exceeds the limit of the queue",
+                     Execution::NotRun,
+                     retryAfter};
     }
     return std::nullopt;
 }
 
-// Makes room in a full queue at the expense of the customer that takes the most of it. Returns whether there is room.
+// Makes room in a full queue by refusing a call of the customer with the longest queue for its share. Returns whether
+// there is room.
 bool evictIfFull(EventContext &context, const RoutedCall &call)
 {
     auto &queue = context.state.routes[call.route].queue;
@@ -240,7 +245,8 @@
 
 std::string expiryMessage(const RoutedCall &call)
 {
-    return call.attempts == 0 ? "no endpoint had room in time" : "no other endpoint had room in time for another try";
+    return call.attempts == 0 ? "no endpoint had a free slot in time"
+                              : "no endpoint had a free slot in time for a retry";
 }
 
 } // namespace
--- a/godwit/routing/call_dispatch.h
+++ b/godwit/routing/call_dispatch.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The way of a call through the router: queue, dispatch, end. Used by the event functions of routing.h.
+// Lifecycle of a call in the router: admission, queue, dispatch and end. Used by the event functions of routing.h.
 
 #include "godwit/routing/routing.h"
 
@@ -11,7 +11,7 @@
 namespace Godwit::internal
 {
 
-// The state and the event that is handled; passed through the steps.
+// State, time and output of the event being handled.
 struct EventContext
 {
     RoutingState &state;
@@ -21,40 +21,41 @@
 
 void addTimer(EventContext &context, TimePoint at, TimerKind kind, std::uint64_t id);
 
-// Refuses a call that was not taken in.
+// Refuses a call that was not accepted.
 void refuseCall(EventContext &context, CallId call, Error error);
 
-// Ends a call that was taken in: leaves its queue or endpoint and answers it by FailCall.
+// Removes an accepted call from its queue or endpoint and answers it with FailCall.
 void failCall(EventContext &context, CallId call, ErrorKind kind, std::string message);
 
-// Ends a call without an answer.
+// Removes a call without an answer.
 void discardCall(EventContext &context, CallId call);
 
-// Takes the call off its endpoint; it is Retrying or ended next.
+// Removes the call from its endpoint. The caller then has to queue it for a retry or end it.
 void releaseFromEndpoint(EventContext &context, RoutedCall &call);
 
-// Puts a new call into its route's queue, or refuses it when it would wait too long there.
+// Dispatches a new call or adds it to the queue of its route; refuses it when its expected wait is too long or the
+// queue is full.
 void admit(EventContext &context, RoutedCall call);
 
-// Takes a suspect in: it is tried by itself, at `trialAt` at the earliest.
+// Accepts a call with a suspect fingerprint. It is tried on an endpoint without other suspects, not before `trialAt`.
 void admitSuspect(EventContext &context, RoutedCall call, TimePoint trialAt);
 
-// The call has waited for as long as it may.
+// Ends a call that has reached its maximum waiting time.
 void expireCall(EventContext &context, CallId call);
 
-// Lets the call join those that are sent again, before all new ones.
+// Adds the call to the retry list of its route, which goes before all new calls.
 void queueRetry(EventContext &context, RoutedCall &call);
 
-// Sends a suspect again, by itself, once the other routers' notices must have come.
+// Delays the trial of a suspect until the notices of the other routers should have arrived.
 void quarantineSuspect(EventContext &context, RoutedCall &call, TimePoint until);
 
-// Sends out calls of the route while endpoints have room.
+// Dispatches waiting calls of the route while endpoints have free slots.
 void dispatchRoute(EventContext &context, std::uint32_t route);
 
-// How long the route needs for the calls that wait, for Retry-After.
+// Estimates how long the route takes to serve its waiting calls, for Retry-After.
 Duration drainTime(const EventContext &context, const RoutedRoute &route);
 
-// Adds one to the route's rate of completed calls.
+// Counts a completed call in the completion rate of the route.
 void recordCompletion(EventContext &context, RoutedRoute &route);
 
 } // namespace Godwit::internal
--- a/godwit/routing/endpoint_choice.cpp
+++ b/godwit/routing/endpoint_choice.cpp
@@ -11,10 +11,11 @@
 namespace
 {
 
-// A cache that is nearly full makes the engine stop requests to make room.
+// An engine whose KV cache is nearly full preempts requests to make room. The penalty grows linearly from zero at the
+// threshold to its maximum at a full cache.
 constexpr double KvPressureThreshold = 0.92;
 constexpr double KvPressureMaxPenaltySeconds = 2.0;
-// Without any finished call a slot is taken to be held for this long.
+// Time that a call occupies a slot, before any call of the route has completed.
 constexpr double DefaultSlotSeconds = 1.0;
 
 struct Estimate
@@ -22,7 +23,7 @@
     double uncachedTokens = 0;
     // Expected seconds to the first token.
     double seconds = 0;
-    // What is compared: the seconds and the penalties.
+    // Used for the comparison: the seconds multiplied by the slowness of the endpoint, plus penalties.
     double cost = 0;
 };
 
@@ -52,7 +53,7 @@
     return route.slotSeconds > 0 ? route.slotSeconds : DefaultSlotSeconds;
 }
 
-// The wait for a free slot, when all are taken.
+// Expected seconds until a slot is free; zero when one is free now.
 double slotWait(const ChoiceContext &context, const RoutedEndpoint &endpoint, double load)
 {
     const double slots = std::max(1, endpoint.spec.slots);
@@ -92,7 +93,7 @@
         estimate.cost +=
             (endpoint.kvUsed - KvPressureThreshold) * KvPressureMaxPenaltySeconds / (1 - KvPressureThreshold);
     }
-    // A call that can't be repeated has an unknown outcome when the suspect beside it takes the endpoint down.
+    // A call that is not repeatable has an unknown outcome if a suspect crashes the endpoint while it runs there.
     if (endpoint.suspectsInFlight > 0 && !context.call.pending.repeatable) {
         estimate.cost += toSeconds(options.suspectPenalty);
     }
@@ -104,7 +105,8 @@
     return std::find(call.failedEndpoints.begin(), call.failedEndpoints.end(), index) != call.failedEndpoints.end();
 }
 
-// Whether an endpoint's room counts. A suspect's own endpoint takes it although it is full: it is one call.
+// Whether the endpoint must have a free slot. The endpoint assigned to a suspect takes it even when it is full: this is
+// only one call.
 enum class CapacityCheck {
     Required,
     Skipped,
@@ -129,7 +131,7 @@
     case Availability::Unavailable:
         return;
     case Availability::Paused:
-        // One that is being tried by a single call has no such time: the call's end tells.
+        // An endpoint that is being probed has no such time: the end of the probe decides.
         if (availableAt(endpoint) > context.now) {
             considerRetryTime(result.choice, availableAt(endpoint));
         }
@@ -152,7 +154,7 @@
 }
 
 enum class Scope {
-    ExcludeFailed, // All endpoints that did not fail the call.
+    ExcludeFailed, // Only endpoints on which the call has not failed.
     All,
 };
 
@@ -167,7 +169,7 @@
     return result;
 }
 
-// The endpoints at which a suspect may be tried, in an order that all routers share.
+// Returns the endpoints at which the suspect may be tried, in an order that is the same on all routers.
 std::vector<std::uint32_t> trialCandidates(const RoutingState &state, const RoutedCall &call, TimePoint now)
 {
     std::vector<std::uint32_t> candidates;
@@ -188,9 +190,9 @@
     return candidates;
 }
 
-// The endpoint that is the suspect's by its rank, then those that are no other suspect's. A router that took the next
-// best one instead would bring two suspects of different routers together, and neither the second crash nor the third
-// would tell them apart. One that has waited for long takes any.
+// Returns the endpoint assigned to the suspect by its rank, then those assigned to no other suspect. If a router took
+// the next best endpoint instead, suspects of two routers could share one, and neither the second nor the third crash
+// would tell them apart. A suspect that has waited for suspectIsolationTimeout may use any candidate.
 std::vector<std::uint32_t> trialOrder(const RoutingState &state,
                                       const RoutedCall &call,
                                       const std::vector<std::uint32_t> &candidates,
@@ -225,7 +227,7 @@
     if (result.choice.endpoint || result.sawReady || call.failedEndpoints.empty()) {
         return result.choice;
     }
-    // Only endpoints that failed it before are left; their breakers and pauses say when to try again.
+    // Only endpoints that failed this call are left; their circuit breakers and pauses determine when to try again.
     return searchRoute(context, Scope::All).choice;
 }
 
--- a/godwit/routing/endpoint_choice.h
+++ b/godwit/routing/endpoint_choice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The choice of one endpoint for one call: the one with the lowest expected time to the first token.
+// Chooses an endpoint for a call: the one with the lowest expected time to the first token, plus penalties.
 //
 // Example:
 //   const Choice choice = chooseEndpoint(state, route, call, now);
@@ -19,24 +19,25 @@
 struct Choice
 {
     std::optional<std::uint32_t> endpoint;
-    // Prompt tokens that the endpoint has to process, and expected seconds to the first token there.
+    // Prompt tokens that are not in the cache of the endpoint, and expected seconds to the first token.
     double uncachedTokens = 0;
     double expectedSeconds = 0;
-    // Without an endpoint: when one that rests comes back, if any does.
+    // When no endpoint was chosen: earliest time at which a paused endpoint becomes available, if any does.
     std::optional<TimePoint> retryAt;
 };
 
-// Chooses among the endpoints of the call's route. Cost: the endpoints of the route and the call's prefix hashes.
+// Chooses among the endpoints of the call's route. Linear in the number of endpoints of the route and in the number of
+// prefix hashes.
 Choice chooseEndpoint(RoutingState &state, const RoutedCall &call, TimePoint now);
 
-// Chooses for a suspect: an endpoint that runs no other suspect and shares no host with one that died of it. Routers
-// that know of the same deaths give each suspect an endpoint of its own.
+// Chooses for a suspect: an endpoint that runs no other suspect, and that neither died of this request nor shares a
+// host with an endpoint that did. Routers that know the same deaths assign each suspect an endpoint of its own.
 Choice chooseForSuspect(RoutingState &state, const RoutedCall &call, TimePoint now);
 
-// Whether some endpoint of the route takes new calls now or after a rest.
+// Returns whether any endpoint of the route accepts new calls, now or after a pause.
 bool hasUsableEndpoint(const RoutingState &state, const RoutedRoute &route, TimePoint now);
 
-// How many endpoints a suspect may be tried at.
+// Returns the number of endpoints at which the suspect may be tried.
 std::size_t suspectCandidateCount(const RoutingState &state, const RoutedCall &call, TimePoint now);
 
 } // namespace Godwit::internal
--- a/godwit/routing/endpoint_load.cpp
+++ b/godwit/routing/endpoint_load.cpp
@@ -8,15 +8,15 @@
 namespace
 {
 
-// Differences below this are noise of the network, not slowness.
+// Differences of this size are network jitter, not slowness.
 constexpr double SlownessNoiseSeconds = 0.02;
 constexpr double SlownessGain = 0.2;
 constexpr double MaxSlowness = 50;
 constexpr double MinSlowness = 0.1;
 
-// An older report alone does not bound the own calls any more.
+// A report older than this does not limit the calls of this router by itself.
 constexpr Duration MaxReportAge = std::chrono::seconds(5);
-// How far above the mean the own calls may rise where the others' are not known.
+// Without a recent report, this router's calls at an endpoint may exceed their mean over all endpoints by this factor.
 constexpr double MaxRatioToMean = 1.25;
 
 double decayFactor(Duration age, Duration halfLife)
@@ -35,7 +35,8 @@
     endpoint.historyNext = (endpoint.historyNext + 1) % InFlightHistorySize;
 }
 
-// The own calls in flight at `time`; at a time before the history begins, the oldest figure that is known.
+// Returns this router's calls in flight at `time`. For a time before the history begins, returns the oldest known
+// figure.
 int ownInFlightAt(const RoutedEndpoint &endpoint, TimePoint time)
 {
     int oldest = 0;
@@ -52,34 +53,33 @@
     return oldest;
 }
 
-// Calls that the endpoint is given at most: its slots and a few that wait for the next free one.
+// Maximum number of calls at the endpoint: its slots, plus those that may wait there for the next free slot.
 double callLimit(const RoutingState &state, const RoutedEndpoint &endpoint)
 {
     return endpoint.spec.slots * (1 + state.options.queueAheadFraction);
 }
 
-// Blends what the last report said of the others' load with what is presumed without it: the older the report, the less
-// it tells of its endpoint.
+// Interpolates between the load in the last report and the assumed one: the older the report, the less weight it has.
 double blendWithReport(double presumed, const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
 {
     const double kept = decayFactor(now - endpoint.reportTakenAt, state.options.reportHalfLife);
     return presumed + (endpoint.otherRoutersLoad - presumed) * kept;
 }
 
-// What the reports of all endpoints say together stays true for longer than what one says.
+// Mean load of the other routers. The mean over all endpoints stays valid for longer than the report of a single one.
 double meanOthersLoad(const RoutedRoute &route)
 {
     return route.otherRoutersLoad / std::max(1, route.reporting);
 }
 
-// The other routers' load, to bound the own calls.
+// Estimated load of the other routers, used to limit the calls of this router.
 double othersLoadForLimit(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
 {
     return blendWithReport(meanOthersLoad(state.routes[endpoint.route]), state, endpoint, now);
 }
 
-// The other routers' load, to choose by. Where it is not known, they are presumed to have crowded the same endpoints as
-// this router, drawn by the same cached prompts.
+// Estimated load of the other routers, used to choose an endpoint. Where it is unknown, the other routers are assumed
+// to prefer the same endpoints as this one, because of the same cached prompts.
 double othersLoadForChoice(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
 {
     const auto &route = state.routes[endpoint.route];
@@ -89,10 +89,11 @@
     return blendWithReport(presumed, state, endpoint, now);
 }
 
-// All routers see the same late report. If each filled the room that it shows, the endpoint would get that many times
-// over and be out of use until the next report but one. So each takes its part, rounded by chance, or what is left
-// beyond a reserve for the others; it always has an equal part of the whole, and gives way when the endpoint has more
-// than it can hold.
+// Computes how many calls this router may have at the endpoint until the next report. All routers see the same late
+// report. If each of them filled the free slots that it shows, the endpoint would get that many calls several times
+// over and be overloaded until the next report but one. So each router takes its share of the free slots, rounded
+// randomly, or the free slots beyond a reserve for the others, whichever is more. It always keeps an equal share of all
+// slots, and reduces its calls in proportion when the endpoint has more than its limit.
 int computeOwnLimit(RoutingState &state, const RoutedEndpoint &endpoint, double total, int own)
 {
     const double limit = callLimit(state, endpoint);
@@ -112,7 +113,7 @@
 Availability availabilityOf(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now)
 {
     const auto &options = state.options;
-    // The host list shows a leaving endpoint as live for seconds. New calls would be cut when it stops.
+    // The host list shows a leaving endpoint as live for seconds. New calls would be cut off when it stops.
     const bool told = endpoint.leavingNotified && now < endpoint.leavingNotifiedAt + options.leavingNoticeTtl;
     const bool leaving = (endpoint.spec.leaving || told) && !options.faults.ignoreLeaving;
     if (!endpoint.listed || leaving) {
@@ -146,7 +147,7 @@
 
 double nextRandom(RoutingState &state)
 {
-    // xorshift64*: enough to keep routers from choosing in step.
+    // xorshift64*: good enough to keep routers from making the same choices.
     auto &x = state.randomState;
     x ^= x >> 12;
     x ^= x << 25;
@@ -164,8 +165,8 @@
     if (now - endpoint.reportTakenAt < MaxReportAge) {
         return own >= endpoint.ownLimit;
     }
-    // The others' calls at this endpoint are not known any more. They are drawn to it as the own ones are, so those are
-    // kept near their mean over all endpoints.
+    // The load of the other routers at this endpoint is not known any more. Their calls are attracted to it as those of
+    // this router are, so the latter are kept near their mean over all endpoints.
     const auto &route = state.routes[endpoint.route];
     const double mean = static_cast<double>(route.inFlight) / std::max(1, route.reporting);
     const bool aboveMean = own >= mean * MaxRatioToMean + 1;
@@ -192,7 +193,7 @@
         endpoint.pendingPrefill -= call.uncachedTokens;
     }
     if (calls.empty()) {
-        // Also keeps rounding errors from adding up.
+        // Keeps rounding errors from accumulating.
         endpoint.pendingPrefill = 0;
     }
     endpoint.suspectsInFlight -= call.suspect ? 1 : 0;
--- a/godwit/routing/endpoint_load.h
+++ b/godwit/routing/endpoint_load.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What one endpoint carries and whether it takes new calls, from late reports and from this router's own calls.
+// Load and availability of one endpoint, estimated from late load reports and from the calls of this router.
 //
 // Example:
 //   recordDispatch(endpoint, call, now);
@@ -13,48 +13,50 @@
 
 enum class Availability {
     Ready,
-    Paused, // Comes back by itself: its breaker is open or it turned a call away.
-    Unavailable, // Leaving, or no longer listed.
+    Paused, // Temporarily: its circuit breaker is open or it rejected a call.
+    Unavailable, // Leaving, or not in the host list any more.
 };
 
 Availability availabilityOf(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now);
 
-// The id of the process behind the endpoint.
+// Returns the id of the process behind the endpoint.
 const EndpointId &processOf(const EndpointSpec &spec);
 
-// When a resting endpoint is to be tried again.
+// Time at which a paused endpoint can be tried again.
 TimePoint availableAt(const RoutedEndpoint &endpoint);
 
-// Calls that the endpoint runs or queues now: those of other routers as last reported, and the own ones. A report is
-// compared with the own calls at the time that it was taken, so that none is counted twice.
+// Estimates the calls that the endpoint runs or queues now: those of this router, and those of other routers according
+// to the last report. A report is compared with the calls of this router at the time when it was taken, so that none is
+// counted twice.
 double estimatedLoad(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now);
 
-// Whether it is full for new calls of this router.
+// Returns whether the endpoint has no free slot for a new call of this router.
 bool isFull(const RoutingState &state, const RoutedEndpoint &endpoint, TimePoint now);
 
-// A number from 0 to 1.
+// Returns a pseudo-random number in [0, 1).
 double nextRandom(RoutingState &state);
 
 void recordDispatch(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now);
 
-// Takes a call off the endpoint, however it ended.
+// Removes a call from the endpoint, whatever its outcome.
 void recordRelease(RoutedEndpoint &endpoint, const RoutedCall &call, TimePoint now);
 
 void recordLoadReport(RoutingState &state, RoutedEndpoint &endpoint, const LoadReport &report, TimePoint now);
 
-// Learns from a first token that took `seconds`, against what the choice expected.
+// Updates the slowness of the endpoint from a first token that took `seconds`, compared with the estimate made when the
+// endpoint was chosen.
 void updateSlowness(
     RoutedEndpoint &endpoint, const RoutingOptions &options, double expectedSeconds, double seconds, TimePoint now);
 
-// Observed over expected time by now: what was learned fades.
+// Returns the ratio of observed to expected time, decayed to `now`.
 double slownessAt(const RoutingOptions &options, const RoutedEndpoint &endpoint, TimePoint now);
 
-// A failure to connect. Returns whether the breaker opened or opened again.
+// Records a failure to connect. Returns whether the circuit breaker opened, or opened again after a failed probe.
 bool recordConnectFailure(RoutedEndpoint &endpoint, const RoutingOptions &options, TimePoint now);
 
 void openBreaker(RoutedEndpoint &endpoint, const RoutingOptions &options, TimePoint now);
 
-// The endpoint answered: it lives.
+// Closes the circuit breaker after the endpoint has answered.
 void closeBreaker(RoutedEndpoint &endpoint);
 
 } // namespace Godwit::internal
--- a/godwit/routing/fair_queue.h
+++ b/godwit/routing/fair_queue.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// The queue of one route: customers take turns by weighted fair share, and within a customer higher priority goes
-// first, then the earlier arrival.
+// The queue of one route. Customers are served by weighted fair queueing; within a customer, higher priority goes
+// first, then earlier arrival.
 //
-// Start-time fair queuing: each customer carries a virtual time that grows by cost/share with each call taken; the
-// customer with the lowest one is next. A customer that was idle starts at the queue's present virtual time, so it
-// can't save up. Every operation is logarithmic in the number of waiting customers and of the customer's own calls.
+// Start-time fair queueing: each customer has a virtual time that grows by cost / share with each call taken, and the
+// customer with the lowest virtual time is served next. A customer that was idle starts at the queue's current virtual
+// time, so that it cannot accumulate credit. Every operation is logarithmic in the number of waiting customers and of
+// the customer's own calls, except removeIdleCustomers().
 //
 // Example:
 //   FairQueue queue;
@@ -28,13 +29,13 @@
 namespace Godwit
 {
 
-// The place of a call within its customer's queue.
+// Sort key and cost of a call in the queue of its customer.
 struct QueueEntry
 {
     int priority = 0;
     TimePoint arrivedAt;
     CallId call;
-    // What taking the call charges its customer: its expected use of an endpoint.
+    // Charged to the customer when the call is taken: its expected use of an endpoint.
     double cost = 1;
 
     friend bool operator<(const QueueEntry &a, const QueueEntry &b)
@@ -49,7 +50,7 @@
     double share = 1;
     double virtualTime = 0;
     std::set<QueueEntry> calls;
-    // How many of them have each priority.
+    // Number of calls by priority.
     std::map<int, std::size_t> byPriority;
 };
 
@@ -58,7 +59,7 @@
     std::vector<CustomerQueue> customers;
     std::vector<std::uint32_t> freeSlots;
     std::unordered_map<CustomerId, std::uint32_t> slotOf;
-    // Customers with waiting calls, by virtual time, and by waiting calls for each unit of share.
+    // Customers with waiting calls, ordered by virtual time, and by number of waiting calls divided by share.
     std::set<std::pair<double, std::uint32_t>> byVirtualTime;
     std::set<std::pair<double, std::uint32_t>> byLength;
     double virtualTime = 0;
@@ -66,29 +67,29 @@
     std::size_t size = 0;
 };
 
-// Adds a call of `customer`, whose share must be positive.
+// Adds a call of `customer`. `share` must be positive.
 void pushCall(FairQueue &queue, const CustomerId &customer, double share, const QueueEntry &place);
 
-// The call whose turn it is.
+// Returns the call to be served next.
 std::optional<CallId> frontCall(const FairQueue &queue);
 
-// Takes the call whose turn it is and charges its customer. The queue must not be empty.
+// Removes the call to be served next and charges its customer. The queue must not be empty.
 void popCall(FairQueue &queue);
 
-// Takes a call out without a charge. Returns whether it was there.
+// Removes a call without charging its customer. Returns false when the call was not in the queue.
 bool removeCall(FairQueue &queue, const CustomerId &customer, const QueueEntry &place);
 
-// The customer with the longest queue for its share, when that is longer than the one that `customer` would have with
-// one more call; else nothing.
+// Returns the customer with the most waiting calls per share, when that is more than `customer` would have with one
+// more call.
 std::optional<CustomerId> customerWithLongerQueue(const FairQueue &queue, const CustomerId &customer, double share);
 
-// The call that goes last of `customer`'s.
+// Returns the call of `customer` that would be served last.
 std::optional<CallId> lastCall(const FairQueue &queue, const CustomerId &customer);
 
-// How many calls are taken, at fair turns, before one that `customer` would add now with `priority`.
+// Estimates how many calls would be served before a new call of `customer` with `priority`.
 double callsAhead(const FairQueue &queue, const CustomerId &customer, double share, int priority);
 
-// Forgets customers that wait for nothing and are behind the present virtual time. Cost: all known customers.
+// Removes customers without waiting calls whose virtual time has been passed. Linear in the number of known customers.
 void removeIdleCustomers(FairQueue &queue);
 
 } // namespace Godwit
--- a/godwit/routing/load_report.h
+++ b/godwit/routing/load_report.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What endpoints tell about themselves, late: load and the contents of their prefix cache.
+// Reports of endpoints on their load and the contents of their prefix cache. They arrive late.
 
 #include "godwit/base/time.h"
 
@@ -12,29 +12,29 @@
 
 struct LoadReport
 {
-    // Requests of all routers that wait at the endpoint and that it runs.
+    // Requests of all routers that are queued and running at the endpoint.
     int queued = 0;
     int running = 0;
-    // The used part of its KV cache, from 0 to 1.
+    // Used fraction of the KV cache, from 0 to 1.
     double kvUsed = 0;
-    // How long ago the figures were taken.
+    // Time since the figures were taken.
     Duration age{};
 };
 
 enum class CacheEventKind {
     Stored,
     Removed,
-    Cleared, // Everything was removed; `block` has no meaning.
+    Cleared, // All blocks were removed; `block` is not used.
 };
 
 struct CacheEvent
 {
     CacheEventKind kind = CacheEventKind::Stored;
-    // The hash of a prompt's beginning up to the end of a block, as in PendingCall::prefixHashes.
+    // Hash of the prompt prefix that ends with this block, as in PendingCall::prefixHashes.
     std::uint64_t block = 0;
 };
 
-// Events in the order in which they happened, numbered without holes from `firstSequence`.
+// Cache events in order, with consecutive sequence numbers from `firstSequence`.
 struct CacheEventBatch
 {
     // Changes when the endpoint restarts with an empty cache.
--- a/godwit/routing/prefix_index.cpp
+++ b/godwit/routing/prefix_index.cpp
@@ -20,7 +20,7 @@
     bits[slot / WordBits] &= ~(1ULL << slot % WordBits);
 }
 
-// Returns the ring place of an entry that was not used since the hand last passed, and removes that entry.
+// Removes the first entry that was not used since the clock hand last passed it. Returns its position in the ring.
 std::size_t evictOne(PrefixIndex &index)
 {
     while (true) {
--- a/godwit/routing/prefix_index.h
+++ b/godwit/routing/prefix_index.h
@@ -1,9 +1,10 @@
 #pragma once
 
-// Which endpoints of a route hold which beginnings of prompts in their cache, as far as is known.
+// Index of the prompt prefixes that the endpoints of a route are believed to have in their caches.
 //
-// Knowledge comes from the endpoints' cache events, late and with gaps, and from own dispatches. It is a hint for the
-// choice of endpoint: a wrong entry costs time, never correctness. Bounded: the entries unused for longest are dropped.
+// It is built from the endpoints' cache events, which arrive late and with gaps, and from this router's own dispatches.
+// It is only a hint for the choice of endpoint: a wrong entry costs time, never correctness. The size is bounded;
+// entries that were not used recently are evicted by the second-chance (CLOCK) algorithm.
 //
 // Example:
 //   PrefixIndex index = makePrefixIndex(100'000);
@@ -22,7 +23,7 @@
 namespace Godwit
 {
 
-// Endpoints with a higher slot number are not tracked: they are chosen by load alone.
+// Endpoints with a slot number from here on are not tracked; they are chosen by load alone.
 constexpr std::size_t MaxTrackedEndpoints = 256;
 
 using EndpointBits = std::array<std::uint64_t, MaxTrackedEndpoints / 64>;
@@ -30,7 +31,7 @@
 struct PrefixEntry
 {
     EndpointBits holders{};
-    // For the second-chance scan that drops unused entries.
+    // Reference bit of the second-chance algorithm.
     bool used = false;
 };
 
@@ -38,29 +39,29 @@
 {
     std::size_t capacity = 0;
     std::unordered_map<std::uint64_t, PrefixEntry> entries;
-    // All blocks, in a ring for the second-chance scan.
+    // All blocks, as the ring that the second-chance algorithm scans.
     std::vector<std::uint64_t> ring;
     std::size_t clockHand = 0;
 };
 
 struct PrefixMatches
 {
-    // For each tracked slot the number of leading blocks held.
+    // Number of leading blocks cached, by slot.
     std::array<std::uint16_t, MaxTrackedEndpoints> blocks{};
 };
 
 // Returns an empty index of at most `capacity` blocks, which must be positive.
 PrefixIndex makePrefixIndex(std::size_t capacity);
 
-// Notes that the endpoint in `slot` holds all `blocks`.
+// Records that the endpoint in `slot` has all `blocks` cached.
 void recordPrefix(PrefixIndex &index, std::size_t slot, const std::vector<std::uint64_t> &blocks);
 
 void applyCacheEvent(PrefixIndex &index, std::size_t slot, const CacheEvent &event);
 
-// Forgets all that is known of the endpoint in `slot`. Cost: the whole index.
+// Removes the endpoint in `slot` from all entries. Linear in the size of the index.
 void removeEndpoint(PrefixIndex &index, std::size_t slot);
 
-// Counts the leading blocks that each endpoint holds and marks the entries met as used.
+// Sets the number of leading blocks that each endpoint has cached and marks the entries found as used.
 void matchPrefixes(PrefixIndex &index, const std::vector<std::uint64_t> &blocks, PrefixMatches &matches);
 
 } // namespace Godwit
--- a/godwit/routing/routing.cpp
+++ b/godwit/routing/routing.cpp
@@ -19,7 +19,7 @@
 constexpr Duration HousekeepingInterval = std::chrono::seconds(60);
 constexpr Duration NoEndpointRetryAfter = std::chrono::seconds(1);
 constexpr double AverageSmoothing = 0.1;
-// A gap of so many lost cache events halves the belief in what is known of the endpoint's cache.
+// A gap of this many lost cache events halves the confidence in the cache contents known for the endpoint.
 constexpr double LostEventsToHalveConfidence = 500;
 constexpr double MinCacheConfidence = 0.3;
 constexpr double EventsToRestoreConfidence = 1000;
@@ -37,7 +37,7 @@
     return found == state.endpointIndex.end() ? nullptr : &state.endpoints[found->second];
 }
 
-// Calls `act` with the endpoint called `id`, or with each endpoint of the process called so.
+// Calls `act` for the endpoint with the given id, or for each endpoint of the process with that id.
 template<typename Act>
 void forEndpoints(RoutingState &state, const EndpointId &id, Act act)
 {
@@ -110,7 +110,7 @@
     endpoint.spec = std::move(spec);
 }
 
-// Frees the places of endpoints that are gone and run nothing more.
+// Frees the elements of endpoints that are not listed any more and have no calls in flight.
 void releaseUnlistedEndpoints(RoutingState &state)
 {
     for (std::size_t index = 0; index < state.endpoints.size(); ++index) {
@@ -131,7 +131,8 @@
     }
 }
 
-// Changes an endpoint that is known, unless it moved to another route: then it is a new one.
+// Updates a known endpoint. Returns false when it is unknown or has moved to another route; it is then added as a new
+// one.
 bool updateEndpoint(RoutingState &state, const EndpointSpec &spec)
 {
     auto *endpoint = findEndpoint(state, spec.id);
@@ -204,8 +205,8 @@
     clearByCompletion(context, call);
 }
 
-// Skips the events that are known already. Returns how many were lost before the batch, or nothing when all of it is
-// known.
+// Sets `skip` to the number of events in the batch that were already applied. Returns how many events were lost before
+// the batch, or nothing when the whole batch was already applied.
 std::optional<std::uint64_t> advanceCacheSequence(RoutedEndpoint &endpoint,
                                                   const CacheEventBatch &batch,
                                                   std::size_t &skip)
@@ -238,8 +239,8 @@
     if (!lost) {
         return;
     }
-    // Lost removals leave entries that promise a cached prompt where there is none: what is known counts for less until
-    // newer events have replaced it.
+    // Lost removals leave entries for prefixes that are not cached any more. The index has less weight until newer
+    // events have replaced them.
     const double belief = LostEventsToHalveConfidence / (LostEventsToHalveConfidence + static_cast<double>(*lost));
     endpoint.cacheConfidence = std::max(MinCacheConfidence, endpoint.cacheConfidence * belief);
     for (std::size_t i = skip; i < batch.events.size(); ++i) {
@@ -321,7 +322,7 @@
         refuseCall(context,
                    id,
                    {ErrorKind::SuspectRequest,
-                    "endpoints died each time that they ran this request",
+                    "endpoints crashed each time they ran this request",
                     Execution::NotRun,
                     refused});
         return;
--- a/godwit/routing/routing.h
+++ b/godwit/routing/routing.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// Which endpoint runs a request, which request goes next, and what happens after an attempt fails.
+// Chooses an endpoint for each request, orders waiting requests, and decides what happens after a failed attempt.
 //
-// Calls wait in the router, in one queue a route, until an endpoint has room: customers take turns by weighted fair
-// share, and within a customer priority goes before first-come. All functions are pure. Actions are appended to `out`
-// and have to be carried out in order.
+// Calls wait in the router, in one queue per route, until an endpoint has a free slot. Customers are served by weighted
+// fair queueing; within a customer, higher priority goes first, then earlier arrival. The functions do no I/O: they
+// append actions to `out`, which the caller has to perform in order.
 //
-// A call that was given to enqueue() ends by exactly one of: onAttemptEnded() with Completed or Cancelled,
-// cancelCall(), or a FailCall action. After FailCall the routing knows the call no more.
+// A call passed to enqueue() ends in exactly one of these ways: onAttemptEnded() with Completed or Cancelled,
+// cancelCall(), or a FailCall action. After that the routing state does not contain the call any more.
 //
 // Example:
 //   RoutingState state = makeRoutingState(RoutingOptions{});
@@ -30,7 +30,7 @@
 namespace Godwit
 {
 
-// Send the call to the endpoint. `attempt` counts from 1.
+// Send the call to the endpoint. `attempt` starts at 1.
 struct Dispatch
 {
     CallId call;
@@ -38,15 +38,16 @@
     int attempt = 1;
 };
 
-// The call's final answer: Overloaded, DeadlineTooShort, NoEndpoint, EndpointFailed, OutcomeUnknown or SuspectRequest.
-// `error.execution` covers the attempts of this call; of other calls of the same request it knows nothing.
+// Answer the caller with `error`: Overloaded, DeadlineTooShort, NoEndpoint, EndpointFailed, OutcomeUnknown or
+// SuspectRequest. `error.execution` covers the attempts of this call only, not those of other calls with the same
+// request.
 struct FailCall
 {
     CallId call;
     Error error;
 };
 
-// Tell all other routers.
+// Send the notice to all other routers.
 struct BroadcastSuspect
 {
     SuspectNotice notice;
@@ -57,7 +58,7 @@
 enum class AttemptEnd {
     Completed,
     ConnectFailed, // No byte of the request reached the endpoint.
-    RejectedNotRun, // The endpoint said that it did not run it.
+    RejectedNotRun, // The endpoint declared that it did not run the request.
     EndpointCrashed, // The connection broke after bytes of the request were sent.
     TimedOut,
     Cancelled,
@@ -65,21 +66,22 @@
 
 RoutingState makeRoutingState(RoutingOptions options);
 
-// The endpoints that the host list shows now. One that is missing gets nothing new; calls in flight there go on.
+// Sets the endpoints of the current host list. An endpoint that is missing gets no new calls; its calls in flight
+// continue.
 void setEndpoints(RoutingState &state,
                   std::vector<EndpointSpec> endpoints,
                   TimePoint now,
                   std::vector<RoutingAction> &out);
 
-// The number of live routers that share the endpoints, this one included.
+// Sets the number of live routers that share the endpoints, including this one.
 void setRouterCount(RoutingState &state, int routers);
 
-// Takes a call in, or refuses it by FailCall. The call id must not be in use.
+// Accepts a call, or refuses it with FailCall. The call id must not be in use.
 void enqueue(RoutingState &state, PendingCall call, TimePoint now, std::vector<RoutingAction> &out);
 
-// The attempt that the last Dispatch of the call began has ended. Decides between another attempt and FailCall. Unknown
-// calls are ignored. For a streamed call whose answer has partly reached the caller, give Cancelled and end the call
-// otherwise: a second attempt would repeat what the caller has.
+// Reports the end of the attempt started by the last Dispatch of the call, and decides between a retry and FailCall.
+// Unknown calls are ignored. When part of a streamed answer has already reached the caller, pass Cancelled and end the
+// call separately: a retry would repeat what the caller has received.
 void onAttemptEnded(RoutingState &state, CallId call, AttemptEnd end, TimePoint now, std::vector<RoutingAction> &out);
 
 void onFirstToken(RoutingState &state, CallId call, TimePoint now, std::vector<RoutingAction> &out);
@@ -96,22 +98,22 @@
                    TimePoint now,
                    std::vector<RoutingAction> &out);
 
-// Takes what another router told by BroadcastSuspect.
+// Handles a notice that another router sent because of BroadcastSuspect.
 void onSuspectNotice(RoutingState &state, const SuspectNotice &notice, TimePoint now, std::vector<RoutingAction> &out);
 
-// The caller is gone: forgets the call, waiting or in flight. No action follows for it.
+// The caller has disconnected: removes the call, waiting or in flight. No further action refers to it.
 void cancelCall(RoutingState &state, CallId call, TimePoint now, std::vector<RoutingAction> &out);
 
-// The endpoint said that it is leaving: nothing new goes there, although the host list may still show it as live.
+// The endpoint has announced that it is leaving: it gets no new calls, even while the host list still shows it as live.
 void markEndpointLeaving(RoutingState &state, const EndpointId &endpoint, TimePoint now);
 
-// Does what is due at `now`.
+// Runs the timers that are due at `now`.
 void onTick(RoutingState &state, TimePoint now, std::vector<RoutingAction> &out);
 
-// When onTick() has to be called at the latest; absent when nothing is due.
+// Latest time of the next onTick(); nothing when no timer is set.
 std::optional<TimePoint> nextWake(const RoutingState &state);
 
-// Calls that wait for an endpoint, and calls in flight, for metrics and draining.
+// Numbers of waiting calls and of calls in flight, for metrics and draining.
 std::size_t queuedCalls(const RoutingState &state);
 std::size_t callsInFlight(const RoutingState &state);
 
--- a/godwit/routing/routing_state.h
+++ b/godwit/routing/routing_state.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// The values that the routing decisions work on: options, endpoints, calls. See routing.h for the functions.
+// Data types of the routing decisions: options, endpoints, calls and the state of one router. routing.h declares the
+// functions that work on them.
 
 #include "godwit/base/error.h"
 #include "godwit/base/ids.h"
@@ -22,7 +23,7 @@
 namespace Godwit
 {
 
-// Takes safeguards out, so that a test can show that they are needed. All off in production.
+// Disables single safeguards, so that tests can show that each of them is needed. All false in production.
 struct RoutingFaults
 {
     bool noSuspects = false;
@@ -39,64 +40,70 @@
 
 struct RoutingOptions
 {
-    // This router's own data centre; its endpoints are preferred.
+    // The data centre of this router. Its endpoints are preferred.
     DataCentreId dataCentre;
-    // How much longer the wait for a first token must be here before an endpoint elsewhere is taken.
+    // Added to the cost of endpoints in other data centres: one is chosen only when it is expected to deliver the first
+    // token sooner by more than this.
     Duration remotePenalty = std::chrono::milliseconds(20);
-    // The work of an endpoint's prompt processing, before it is learned from first-token times.
+    // Assumed speed of prompt processing. The slowness learned from first-token times corrects it for each endpoint.
     double prefillTokensPerSecond = 8000;
-    // Each call that an endpoint runs slows the others' first token by about this.
+    // Added to the expected time to first token for each call that the endpoint runs.
     Duration costPerRunningCall = std::chrono::milliseconds(2);
-    // Endpoints take so many calls beyond their slots, as a part of these, so that they don't run dry.
+    // Calls that an endpoint may be sent beyond its slots, as a fraction of them, so that the next call is already
+    // there when a slot becomes free.
     double queueAheadFraction = 0;
-    // A report tells half as much of its endpoint after each such time.
+    // Half-life of the weight given to the last load report of an endpoint.
     Duration reportHalfLife = std::chrono::milliseconds(300);
-    // Part of an endpoint's slots that one router leaves to the others between two reports.
+    // Fraction of an endpoint's slots that a router leaves free for the other routers between two load reports.
     double slotReserveFraction = 0.25;
-    // Differs from router to router, so that routers with the same reports don't round their parts alike.
+    // Must differ between routers, so that routers with the same reports do not all round their shares the same way.
     std::uint64_t seed = 1;
 
-    // Bounds of a route's queue: calls, and the time that one may wait.
+    // Limits of the queue of a route: number of calls, and time that one call may wait.
     std::size_t maxQueued = 2000;
     Duration maxQueueWait = std::chrono::milliseconds(500);
-    // The cost of a call in the customers' turns: 1 and these parts.
+    // The cost of a call in fair queueing is 1 + promptTokens / promptTokensPerCostUnit + maxOutput /
+    // outputTokensPerCostUnit.
     double promptTokensPerCostUnit = 2048;
     double outputTokensPerCostUnit = 256;
 
-    // How long a call that has failed may wait for another try: what it is worth to its caller has grown.
+    // Limit on the wait for a retry. Longer than maxQueueWait: the call is worth more after an attempt.
     Duration maxRetryWait = std::chrono::seconds(5);
-    // Attempts that reach an endpoint, and attempts in all: failures to connect are cheap, and when a data centre goes
-    // a call may meet many before the breakers know.
+    // Limits on the attempts that reach an endpoint and on all attempts of a call. Failures to connect are cheap, and
+    // when a data centre fails a call may meet many of them before the circuit breakers open.
     int maxDeliveredAttempts = 4;
     int maxAttempts = 16;
-    // Retries after crashes and timeouts: this part of the calls taken in, and how many may be saved up.
+    // Retry budget for crashes and timeouts: each new call adds retryFraction, up to retryBurst.
     double retryFraction = 0.2;
     double retryBurst = 100;
-    // An endpoint that said "not run" gets nothing for so long.
+    // An endpoint that rejected a call without running it gets no calls for this time.
     Duration rejectionBackoff = std::chrono::milliseconds(100);
-    // The breaker opens after so many failures to connect in a row, and at a crash at once. Then one call at a time is
-    // let through after this time, doubled with each failure up to the bound.
+    // The circuit breaker of an endpoint opens after this many consecutive failures to connect, and after one crash.
+    // After breakerOpenTime, which doubles with each further failure up to maxBreakerOpenTime, one call at a time is
+    // sent as a probe.
     int breakerFailures = 2;
     Duration breakerOpenTime = std::chrono::milliseconds(500);
     Duration maxBreakerOpenTime = std::chrono::seconds(15);
-    // How fast a learned slowness is forgotten.
+    // Half-life of the observed slowness of an endpoint.
     Duration slownessHalfLife = std::chrono::seconds(10);
-    // How long a leaving notice outweighs a host list that still shows the endpoint as live.
+    // For this time after an endpoint has announced that it is leaving, it gets no calls even though the host list
+    // still shows it as live.
     Duration leavingNoticeTtl = std::chrono::minutes(2);
 
     SuspectOptions suspects;
-    // How long a suspect waits for the other routers' notices before it is tried alone.
+    // How long a suspect waits for the notices of the other routers before it is tried on an endpoint without other
+    // suspects.
     Duration suspectNoticeWait = std::chrono::milliseconds(100);
-    // After waiting so long for an endpoint of its own a suspect is tried beside others.
+    // After this wait for an endpoint of its own, a suspect may also use the endpoints assigned to other suspects.
     Duration suspectIsolationTimeout = std::chrono::seconds(3);
-    // Between two rounds, when there are more suspects than endpoints.
+    // Time between two rounds of trials when there are more suspects than endpoints.
     Duration suspectTrialInterval = std::chrono::seconds(1);
-    // What an endpoint that runs a suspect costs a call that can't be repeated.
+    // Added to the cost of an endpoint that runs a suspect, for calls that are not repeatable.
     Duration suspectPenalty = std::chrono::seconds(1);
-    // Bound of the notices told about one death.
+    // Limit on the notices sent for the death of one endpoint.
     std::size_t maxNoticesPerDeath = 64;
 
-    // Blocks known for each route; about 100 bytes each.
+    // Capacity of the prefix index of each route in blocks of about 100 bytes.
     std::size_t prefixCapacity = 50'000;
     RoutingFaults faults;
 };
@@ -106,14 +113,15 @@
     EndpointId id;
     RouteId route;
     DataCentreId dataCentre;
-    // Calls that it runs at the same time.
+    // Number of calls that the endpoint runs concurrently.
     int slots = 1;
     bool modelEngine = false;
     bool leaving = false;
-    // Empty when unknown. Endpoints of one host may die together.
+    // Empty when unknown. Endpoints of the same host can die together.
     HostId host;
-    // What the process behind it is called, when several routes list it under ids of their own; empty: as `id`. Load
-    // reports, cache events and leaving notices may name either; deaths are those of the process.
+    // Id of the process behind the endpoint when several routes list that process under endpoint ids of their own;
+    // empty when it is the same as `id`. Load reports, cache events and leaving notices may name either; deaths are
+    // recorded for the process.
     EndpointId process;
 };
 
@@ -122,19 +130,19 @@
     CallId call;
     RouteId route;
     CustomerId customer;
-    // Weight in the customers' turns; positive.
+    // Weight in fair queueing; positive.
     double customerShare = 1;
-    // Higher goes first within the customer.
+    // Calls of higher priority go first among those of the same customer.
     int priority = 0;
     bool repeatable = false;
     Tokens promptTokens = 0;
     Tokens maxOutput = 0;
-    // Of customer, route and body: the same each time that the caller sends the request.
+    // Hash of customer, route and body, so that it is the same when the caller sends the request again.
     std::uint64_t fingerprint = 0;
-    // Hashes of the prompt's beginnings, each one block longer.
+    // Hashes of the prefixes of the prompt, each one block longer than the one before.
     std::vector<std::uint64_t> prefixHashes;
     TimePoint arrivedAt;
-    // When an answer that has not begun is of no use any more.
+    // Latest time at which the answer may begin.
     TimePoint deadline;
 };
 
@@ -142,9 +150,9 @@
 {
 
 enum class CallPhase {
-    Queued, // In its route's fair queue.
-    Retrying, // In its route's list of calls to send again.
-    Quarantined, // Suspect: waits for notices or for judgement.
+    Queued, // In the fair queue of its route.
+    Retrying, // In the retry list of its route.
+    Quarantined, // A suspect that waits for notices or its trial; also between two states after an attempt has ended.
     InFlight,
 };
 
@@ -155,25 +163,27 @@
     std::uint32_t route = 0;
     std::uint32_t endpoint = 0;
     int attempts = 0;
-    // How long a call that has failed may wait for another try: what it is worth to its caller has grown.
+    // Not used; RoutingOptions::maxRetryWait applies.
     Duration maxRetryWait = std::chrono::seconds(5);
-    // Attempts that reached an endpoint.
+    // Attempts that reached an endpoint. Failures to connect do not count.
     int deliveredAttempts = 0;
-    // The worst that is known of the attempts so far.
+    // The worst outcome of the attempts so far: NotRun until one of them may have run.
     Execution execution = Execution::NotRun;
-    // Endpoints that failed it.
+    // Endpoints on which attempts of this call failed.
     std::vector<std::uint32_t> failedEndpoints;
     TimePoint queuedUntil;
     TimePoint quarantinedUntil;
     TimePoint dispatchedAt;
     bool firstToken = false;
     bool suspect = false;
-    // What the choice expected: prompt tokens to process, and seconds to the first token.
+    // Estimates made when the endpoint was chosen: prompt tokens that it has to process, and seconds to the first
+    // token.
     double uncachedTokens = 0;
     double expectedSeconds = 0;
 };
 
-// The own calls in flight at an endpoint after a change, to compare with a report that was taken earlier.
+// This router's calls in flight at an endpoint after a change, kept to compare with load reports that were taken
+// earlier.
 struct InFlightChange
 {
     TimePoint at;
@@ -186,9 +196,9 @@
 {
     EndpointSpec spec;
     std::uint32_t route = 0;
-    // Its place in the route, as the prefix index counts.
+    // Index into RoutedRoute::endpoints; also the slot number in the prefix index of the route.
     std::uint32_t indexInRoute = 0;
-    // False for a free place in RoutingState::endpoints.
+    // False for a free element of RoutingState::endpoints.
     bool inUse = false;
     bool listed = false;
     bool leavingNotified = false;
@@ -200,18 +210,19 @@
     std::size_t historyNext = 0;
 
     bool reported = false;
-    // From the last report, without the own calls.
+    // From the last load report, without the calls of this router.
     double otherRoutersLoad = 0;
     double otherRoutersQueued = 0;
     double kvUsed = 0;
     TimePoint reportTakenAt;
-    // So many own calls may be there until the next report; see computeOwnLimit().
+    // Limit on the calls of this router at the endpoint until the next report; see computeOwnLimit().
     int ownLimit = 0;
-    // From 0 to 1: rounds this router's equal part of the slots up at some endpoints and down at others. Fixed, because
-    // drawn anew with each report it would let the part creep upwards.
+    // From 0 to 1. Added to the equal share of the slots before rounding down, so that it is rounded up at some
+    // endpoints and down at others. Drawn once for each endpoint: drawn anew with each report, it would let the share
+    // creep upwards.
     double equalPartRounding = 0;
 
-    // Observed over expected time to the first token; fades to 1, so that it is tried again.
+    // Ratio of observed to expected time to the first token. Decays towards 1, so that a slow endpoint is tried again.
     double slowness = 1;
     TimePoint slownessAt;
 
@@ -221,7 +232,7 @@
     Duration breakerTime{};
     TimePoint pausedUntil;
     int suspectsInFlight = 0;
-    // A crash whose other calls are being gathered.
+    // Set after a crash, until the time to collect the other calls that fail in it is over.
     bool deathPending = false;
     TimePoint diedAt;
     std::size_t noticesSent = 0;
@@ -229,11 +240,11 @@
     std::uint64_t cacheEpoch = 0;
     std::uint64_t nextCacheSequence = 0;
     bool cacheKnown = false;
-    // How far the prefix index can be believed after gaps, from 0 to 1.
+    // Weight of the prefix index for this endpoint, from 0 to 1. Lowered by gaps in the cache events.
     double cacheConfidence = 1;
 };
 
-// A count that fades with time, to tell a present rate.
+// Counter with exponential decay, used to estimate a current rate.
 struct DecayingCounter
 {
     double count = 0;
@@ -243,31 +254,32 @@
 struct RoutedRoute
 {
     RouteId id;
-    // Places of endpoints; freed places hold NoEndpointIndex.
+    // Indexes into RoutingState::endpoints. Free elements hold NoEndpointIndex.
     std::vector<std::uint32_t> endpoints;
     FairQueue queue;
-    // Calls to send again, before all others.
+    // Calls that wait for a retry. They go before all queued calls.
     std::vector<CallId> retries;
     PrefixIndex prefixes;
     DecayingCounter completions;
-    // Learned: seconds that a call occupies a slot, seconds from dispatch to first token, prompt tokens to process.
+    // Moving averages: seconds that a call occupies a slot, seconds from dispatch to first token, and prompt tokens
+    // that the chosen endpoint had to process.
     double slotSeconds = 0;
     double firstTokenSeconds = 0;
     double uncachedTokens = 0;
-    // Slots of all endpoints that take new calls.
+    // Total number of slots of the endpoints that accept new calls.
     int slots = 0;
-    // Sum of RoutedEndpoint::otherRoutersLoad, and how many endpoints have reported.
+    // Sum of RoutedEndpoint::otherRoutersLoad, and number of endpoints that have reported.
     double otherRoutersLoad = 0;
     int reporting = 0;
-    // Own calls at its endpoints.
+    // Calls of this router in flight at the endpoints of the route.
     int inFlight = 0;
 };
 
 enum class TimerKind {
     QueueDeadline, // of the call `id`
     QuarantineEnd, // of the call `id`
-    DispatchRoute, // of the route `id`
-    ConfirmDeath, // of the endpoint `id`
+    DispatchRoute, // of the route with index `id`
+    ConfirmDeath, // of the endpoint with index `id`
     Housekeeping,
 };
 
@@ -275,7 +287,7 @@
 
 } // namespace internal
 
-// Figures since the start, for metrics.
+// Totals since the start, for metrics.
 struct RoutingCounters
 {
     std::uint64_t dispatched = 0;
@@ -287,7 +299,7 @@
     std::uint64_t refusedSuspects = 0;
 };
 
-// The state of one router's choices. A plain value; its fields are the component's own.
+// The routing state of one router. A plain value; the fields are private to this component.
 struct RoutingState
 {
     RoutingOptions options;
@@ -295,7 +307,7 @@
     std::uint64_t randomState = 0;
     std::vector<internal::RoutedEndpoint> endpoints;
     std::unordered_map<EndpointId, std::uint32_t> endpointIndex;
-    // Endpoints in use whose process has an id of its own.
+    // Endpoints in use that name a process, by the id of that process.
     std::unordered_map<EndpointId, std::vector<std::uint32_t>> endpointsOfProcess;
     std::vector<internal::RoutedRoute> routes;
     std::unordered_map<RouteId, std::uint32_t> routeIndex;
