--- a/godwit/routing/addresses_test.cpp
+++ b/godwit/routing/addresses_test.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a small customer's callers all use one host, with another data centre's host to turn to")
+TEST_CASE("callers of a small customer use one host, with a fallback in another data centre")
 {
     const auto routers = makeRouters(8);
     for (int number = 0; number < 50; ++number) {
@@ -64,7 +64,7 @@
     }
 }
 
-TEST_CASE("a large customer's callers are spread over more hosts")
+TEST_CASE("callers of a large customer are spread over several hosts")
 {
     const auto routers = makeRouters(8);
     std::set<std::string> first;
@@ -74,7 +74,7 @@
     CHECK(first.size() == 5);
 }
 
-TEST_CASE("a host that dies moves only its own customers, to different hosts")
+TEST_CASE("the death of a host moves only its own customers, to different hosts")
 {
     const auto routers = makeRouters(8);
     auto fewer = routers;
@@ -92,7 +92,7 @@
     CHECK(newHosts.size() >= 5);
 }
 
-TEST_CASE("leaving hosts are not given while others are live")
+TEST_CASE("leaving hosts are left out while others are live")
 {
     auto routers = makeRouters(3);
     routers[0].leaving = true;
@@ -107,7 +107,7 @@
     CHECK(chooseAddresses({}, customer(1), optionsFor(1)).addresses.empty());
 }
 
-TEST_CASE("an overloaded host passes on half of the part of its callers that is too much")
+TEST_CASE("an overloaded host diverts callers for half of its excess load")
 {
     auto routers = makeRouters(8);
     int number = 0;
@@ -122,11 +122,11 @@
         const auto first = chooseAddresses(routers, customer(number), options).addresses.front();
         moved += first == routers[0].address ? 0 : 1;
     }
-    // The mean is 112.5, the bound 140.6: 30% are too much.
+    // The mean load is 112.5 and the bound 140.6, so 30% of the load is in excess.
     CHECK(static_cast<double>(moved) / callers == Approx(0.15).margin(0.03));
 }
 
-TEST_CASE("hosts of the caller's own data centre come first among those that are used")
+TEST_CASE("active hosts in the caller's data centre come first")
 {
     const auto routers = makeRouters(6);
     for (std::uint64_t pick = 0; pick < 6; ++pick) {
--- a/godwit/routing/fair_queue_test.cpp
+++ b/godwit/routing/fair_queue_test.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("customers take turns by share, whatever they have waiting")
+TEST_CASE("customers are served in proportion to their shares, whatever their queue lengths")
 {
     FairQueue queue;
     std::map<std::uint64_t, std::string> owner;
@@ -40,7 +40,7 @@
     CHECK(taken["small"] == Approx(75).margin(1));
 }
 
-TEST_CASE("an idle customer saves nothing up, and one that was served waits its turn after a pause")
+TEST_CASE("an idle customer accumulates no credit")
 {
     FairQueue queue;
     for (std::uint64_t i = 0; i < 100; ++i) {
@@ -59,7 +59,7 @@
     CHECK(smallTaken == 2);
 }
 
-TEST_CASE("within a customer priority goes first, then the earlier call")
+TEST_CASE("calls of a customer are ordered by priority, then by arrival")
 {
     FairQueue queue;
     pushCall(queue, Large, 1, place(1, 0));
@@ -73,7 +73,7 @@
     CHECK(order == std::vector<std::uint64_t>{2, 3, 1});
 }
 
-TEST_CASE("costly calls use up more of a customer's turns")
+TEST_CASE("expensive calls are charged more to their customer")
 {
     FairQueue queue;
     for (std::uint64_t i = 0; i < 100; ++i) {
@@ -88,7 +88,7 @@
     CHECK(smallTaken == Approx(40).margin(1));
 }
 
-TEST_CASE("the wait counts the own calls ahead and the turns of others, not a flood behind")
+TEST_CASE("callsAhead counts own calls of at least the same priority and the fair share of others")
 {
     FairQueue queue;
     for (std::uint64_t i = 0; i < 1000; ++i) {
@@ -99,7 +99,7 @@
     CHECK(callsAhead(queue, Large, 1, 9) == Approx(0));
 }
 
-TEST_CASE("the longest queue for its share gives way, its last call first")
+TEST_CASE("the customer with the longest queue for its share and its last call are found")
 {
     FairQueue queue;
     for (std::uint64_t i = 0; i < 10; ++i) {
@@ -111,7 +111,7 @@
     CHECK_FALSE(customerWithLongerQueue(queue, Large, 1));
 }
 
-TEST_CASE("removed calls and forgotten customers leave nothing behind")
+TEST_CASE("removing calls and idle customers frees all entries")
 {
     FairQueue queue;
     pushCall(queue, Large, 2, place(1));
--- a/godwit/routing/prefix_index_test.cpp
+++ b/godwit/routing/prefix_index_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("each endpoint is matched up to the longest beginning that it holds")
+TEST_CASE("each endpoint is matched up to its longest cached prefix")
 {
     auto index = makePrefixIndex(100);
     recordPrefix(index, 3, blocksFrom(10, 4));
@@ -40,7 +40,7 @@
     CHECK(matchOf(index, 200, blocksFrom(10, 6)) == 2);
 }
 
-TEST_CASE("the index stays within its bound and keeps what is used")
+TEST_CASE("the index stays within its capacity and keeps entries in use")
 {
     auto index = makePrefixIndex(50);
     const auto used = blocksFrom(1, 10);
@@ -53,7 +53,7 @@
     CHECK(index.ring.size() == 50);
 }
 
-TEST_CASE("endpoints beyond the tracked ones are left out, not mixed up")
+TEST_CASE("endpoints beyond the tracked slots are ignored")
 {
     auto index = makePrefixIndex(50);
     recordPrefix(index, MaxTrackedEndpoints, blocksFrom(1, 3));
--- a/godwit/routing/routing_bench.cpp
+++ b/godwit/routing/routing_bench.cpp
@@ -115,7 +115,7 @@
     }
 }
 
-// Requests a second at which the engines' batches are full.
+// Requests per second at which the batches of the engines are full.
 double capacity(const FleetOptions &options)
 {
     const auto &engine = options.engine;
@@ -148,7 +148,7 @@
     compare("50% of capacity, and customer 0 floods with 100% more", options);
 }
 
-// First-token times at 90% of capacity when load reports are late.
+// Time to first token at 90% of capacity with late load reports.
 void lagTable()
 {
     std::printf("\n90%% of capacity, reports taken every R s and delivered D s later: first token p95 s (saved %%)\n");
@@ -183,7 +183,7 @@
     Duration crashAfter;
 };
 
-// Ten runs of ten poisonous requests, each sent again six times by its caller.
+// Ten runs with ten crashing requests each, every one sent six times by its caller.
 void poisonTable()
 {
     std::printf("\npoisonous requests: 10 runs of 300 s with 10 requests each, sent 6 times, 18 engines, 8 routers\n");
@@ -251,7 +251,7 @@
     std::uint64_t askedAgain = 0;
 };
 
-// Callers that keep an answer for 30 s while hosts die; the fleet sees a death after two seconds.
+// Callers keep an answer for 30 s while hosts die; routers detect a death after two seconds.
 class AddressSim
 {
 public:
@@ -304,7 +304,7 @@
         return std::uniform_real_distribution<double>(0, 1)(m_random);
     }
 
-    // All callers send alike; large customers have many.
+    // All callers send at the same rate; large customers have more callers.
     std::size_t pickCustomer()
     {
         double place = uniform() * m_shareSum;
@@ -363,7 +363,7 @@
         ask(caller);
     }
 
-    // Loads are the calls of the last thirty seconds.
+    // The load of a host is its number of calls in the last thirty seconds.
     void updateLoads()
     {
         if (m_time < m_nextLoad) {
@@ -447,7 +447,7 @@
     }
 }
 
-// 600 endpoints of three routes, half loaded, with a report of each every half second of simulated time.
+// 600 endpoints of three routes at half load; each sends a report every half second of simulated time.
 struct MicroFleet
 {
     static constexpr int Endpoints = 600;
--- a/godwit/routing/routing_fuzz_test.cpp
+++ b/godwit/routing/routing_fuzz_test.cpp
@@ -1,6 +1,7 @@
-// Random orders of calls, ends of attempts, reports, cache events, notices, changes of the endpoint list and passing
-// time, against an oracle: a call is at one endpoint at a time and ends once; what may have run and can't be repeated
-// is never sent again; "not run" is true; endpoints that leave get nothing new; in the end nothing is left behind.
+// Runs random sequences of calls, ends of attempts, reports, cache events, notices, changes of the endpoint list and
+// passing time against a model. Checks that a call is at one endpoint at a time and ends once, that a non-repeatable
+// call that may have run is never retried, that "not run" is true, that leaving endpoints get no new calls, and that no
+// call is left in the end.
 
 #include "godwit/base/enum_names.h"
 #include "godwit/routing/routing.h"
@@ -76,7 +77,7 @@
 struct ExpectedCall
 {
     bool repeatable = false;
-    // The endpoint that runs it.
+    // The endpoint at which the call is in flight.
     std::optional<std::string> at;
     bool mayHaveRun = false;
     bool ended = false;
@@ -139,7 +140,7 @@
             relist(value);
             break;
         case Operation::Leaving:
-            // A notice of one that is not listed has no meaning.
+            // A notice of an endpoint that is not listed has no effect.
             if (m_listed.count(endpointName(value)) != 0) {
                 m_leaving.insert(endpointName(value));
             }
@@ -155,7 +156,7 @@
         check();
     }
 
-    // All endpoints are well, and everything is carried to its end.
+    // Lists all endpoints again and completes all calls.
     void settle()
     {
         m_leaving.clear();
@@ -170,11 +171,12 @@
             check();
         }
         for (const auto &[id, call] : m_calls) {
-            expect(call.ended, "a call never ended");
+            expect(call.ended, "a call did not end");
         }
-        expect(m_state.calls.empty() && queuedCalls(m_state) == 0 && callsInFlight(m_state) == 0, "calls left behind");
+        expect(m_state.calls.empty() && queuedCalls(m_state) == 0 && callsInFlight(m_state) == 0,
+               "calls remain in the routing state");
         for (const auto &route : m_state.routes) {
-            expect(route.queue.size == 0 && route.retries.empty() && route.inFlight == 0, "a queue is left behind");
+            expect(route.queue.size == 0 && route.retries.empty() && route.inFlight == 0, "a queue is not empty");
         }
     }
 
@@ -284,7 +286,7 @@
         onSuspectNotice(m_state, notice, m_now, m_actions);
     }
 
-    // Lists those endpoints whose bit in `missing` is not set.
+    // Lists the endpoints whose bit in `missing` is not set.
     void relist(std::uint32_t missing)
     {
         std::vector<EndpointSpec> specs;
@@ -303,12 +305,12 @@
             m_listed.insert(spec.id.value);
             specs.push_back(spec);
         }
-        // One that was gone and is listed again has forgotten that it was leaving.
+        // An endpoint that is listed again after it was missing is no longer leaving.
         for (auto it = m_leaving.begin(); it != m_leaving.end();) {
             it = m_listed.count(*it) == 0 ? m_leaving.erase(it) : std::next(it);
         }
         if (missing == 0) {
-            // In the end all are well again: the leaving notices have run out.
+            // When all endpoints are listed again, their leaving notices have expired.
             m_now += m_leaving.empty() ? Duration::zero() : m_state.options.leavingNoticeTtl;
             m_leaving.clear();
         }
@@ -326,9 +328,9 @@
             }
             m_now = std::max(m_now, *wake);
             onTick(m_state, m_now, m_actions);
-            expect(!nextWake(m_state) || *nextWake(m_state) > m_now, "a timer that is due was left standing");
+            expect(!nextWake(m_state) || *nextWake(m_state) > m_now, "a timer that is due did not run");
             check();
-            expect(++steps < 10'000, "timers go on without end");
+            expect(++steps < 10'000, "timers are rescheduled without end");
             if (steps >= 10'000) {
                 break;
             }
@@ -345,9 +347,10 @@
                 checkDispatch(*sent);
             } else if (const auto *given = std::get_if<FailCall>(&action)) {
                 auto &call = m_calls.at(given->call.value);
-                expect(!call.ended, "ended twice");
-                expect(!call.at, "given up while an endpoint runs it");
-                expect(given->error.execution != Execution::NotRun || !call.mayHaveRun, "an untrue 'not run'");
+                expect(!call.ended, "a call ended twice");
+                expect(!call.at, "a call failed while it was in flight");
+                expect(given->error.execution != Execution::NotRun || !call.mayHaveRun,
+                       "a call that may have run was reported as not run");
                 call.ended = true;
             }
         }
@@ -362,11 +365,11 @@
     void checkDispatch(const Dispatch &sent)
     {
         auto &call = m_calls.at(sent.call.value);
-        expect(!call.ended, "sent after its end");
-        expect(!call.at, "sent while an endpoint runs it");
-        expect(call.repeatable || !call.mayHaveRun, "sent again though it may have run");
-        expect(m_listed.count(sent.endpoint.value) != 0, "sent to an endpoint that is not listed");
-        expect(m_leaving.count(sent.endpoint.value) == 0, "sent to an endpoint that is leaving");
+        expect(!call.ended, "a call was dispatched after its end");
+        expect(!call.at, "a call was dispatched while it was in flight");
+        expect(call.repeatable || !call.mayHaveRun, "a non-repeatable call that may have run was dispatched again");
+        expect(m_listed.count(sent.endpoint.value) != 0, "a call was dispatched to an unlisted endpoint");
+        expect(m_leaving.count(sent.endpoint.value) == 0, "a call was dispatched to a leaving endpoint");
         call.at = sent.endpoint.value;
     }
 
@@ -428,9 +431,9 @@
 
 } // namespace
 
-TEST_CASE("no order of events sends a call twice, tells an untruth or loses a call")
+TEST_CASE("random event sequences never run a call twice, misreport its execution or lose it")
 {
-    // Overridden by the same variable in the environment.
+    // The environment overrides this default.
     setenv("RC_PARAMS", "seed=20261202 max_success=2000 max_size=100", 0);
     std::printf("RC_PARAMS=%s\n", std::getenv("RC_PARAMS"));
     const bool held = rc::check("routing", [] {
@@ -442,7 +445,7 @@
     CHECK(held);
 }
 
-TEST_CASE("the fuzzer finds the safeguards that are taken out")
+TEST_CASE("the fuzzer detects disabled safeguards")
 {
     constexpr int tries = 200;
     CHECK_FALSE(findsViolation({}, tries));
--- a/godwit/routing/routing_test.cpp
+++ b/godwit/routing/routing_test.cpp
@@ -15,7 +15,7 @@
 const DataCentreId LocalDataCentre{"hala-izvor"};
 const DataCentreId RemoteDataCentre{"hala-pavilion"};
 
-// One router with a clock; collects what it decides.
+// The routing state of one router with a simulated clock. Collects its actions.
 struct TestRouter
 {
     RoutingState state;
@@ -74,7 +74,7 @@
         now = until;
     }
 
-    // The endpoint of the last dispatch of the call; empty when it is not out.
+    // Returns the endpoint of the last dispatch of the call; empty when there was none.
     std::string endpointOf(CallId call) const
     {
         for (auto it = actions.rbegin(); it != actions.rend(); ++it) {
@@ -127,7 +127,7 @@
 
 } // namespace
 
-TEST_CASE("calls go to the own data centre first, and elsewhere once it is full")
+TEST_CASE("endpoints of the local data centre are preferred until they are full")
 {
     TestRouter router;
     router.listEndpoints({endpoint("far", 4, RemoteDataCentre), endpoint("near", 2)});
@@ -139,9 +139,10 @@
     }
 }
 
-TEST_CASE("a report is combined with the own calls since it was taken")
+TEST_CASE("a load report is combined with the calls dispatched since it was taken")
 {
-    // The report of two running calls was taken before this router sent its own two; both endpoints carry two now.
+    // The reports are older than the router's own dispatches, which must be counted once: neither left out nor added to
+    // a report that already includes them.
     TestRouter router;
     router.listEndpoints({endpoint("a", 16), endpoint("b", 16)});
     const auto first = router.add(router.make());
@@ -161,7 +162,7 @@
     CHECK(own == Approx(5));
 }
 
-TEST_CASE("routers that see the same free room share it")
+TEST_CASE("routers share the free slots that a load report shows")
 {
     RoutingOptions options;
     TestRouter router(options);
@@ -175,11 +176,11 @@
     for (int i = 0; i < 10; ++i) {
         sent += router.endpointOf(router.add(router.make())).empty() ? 0 : 1;
     }
-    // Two slots are free, two are this router's part of the whole.
+    // Two slots are free, and the equal share of this router is two slots.
     CHECK(sent <= 2);
 }
 
-TEST_CASE("a prompt goes where its beginning is cached, unless that endpoint is busy")
+TEST_CASE("a call goes to the endpoint that has its prefix cached, unless that endpoint is busy")
 {
     TestRouter router;
     router.listEndpoints({endpoint("a", 16), endpoint("b", 16)});
@@ -192,7 +193,7 @@
     again.prefixHashes = {1, 2, 3, 4};
     CHECK(router.endpointOf(router.add(again)) == home);
 
-    // Twelve prompts ahead cost more than the cached beginning saves.
+    // Twelve queued prompts cost more than the cached prefix saves.
     LoadReport report;
     report.running = 16;
     report.queued = 12;
@@ -202,7 +203,7 @@
     CHECK(router.endpointOf(router.add(third)) != home);
 }
 
-TEST_CASE("cache events come late, twice and with gaps, and only cost locality")
+TEST_CASE("late, repeated and lost cache events affect only cache locality")
 {
     TestRouter router;
     router.listEndpoints({endpoint("a", 16), endpoint("b", 16)});
@@ -231,7 +232,7 @@
     CHECK(homeOf({81, 82}) == "a");
 }
 
-TEST_CASE("a slow endpoint gets less, and is tried again later")
+TEST_CASE("a slow endpoint gets fewer calls, and is tried again later")
 {
     TestRouter router;
     router.listEndpoints({endpoint("a", 16), endpoint("b", 16)});
@@ -247,7 +248,7 @@
     CHECK(router.endpointOf(router.add(router.make())) == slow);
 }
 
-TEST_CASE("a failure to connect is tried elsewhere at once, for any call")
+TEST_CASE("a failure to connect is retried at once on another endpoint, also for non-repeatable calls")
 {
     TestRouter router;
     router.listEndpoints({endpoint("a"), endpoint("b")});
@@ -265,10 +266,10 @@
     CHECK(queuedCalls(router.state) == 0);
 }
 
-TEST_CASE("a call that can't be repeated is never sent again once it may have run")
+TEST_CASE("a non-repeatable call is never retried once it may have run")
 {
-    // The endpoint breaks the connection, or says nothing, after the request was sent. It may have issued the voucher:
-    // the caller is told "unknown" at once. Sending again issues it twice.
+    // The connection breaks or times out after the request was sent, so the request may have run. A retry could run it
+    // twice, such as issue a voucher twice; the caller gets an unknown outcome at once.
     for (const bool fault : {false, true}) {
         for (const auto how : {AttemptEnd::EndpointCrashed, AttemptEnd::TimedOut}) {
             RoutingOptions options;
@@ -288,10 +289,10 @@
     }
 }
 
-TEST_CASE("retries are a bounded part of the traffic")
+TEST_CASE("the retry budget limits retries to a fraction of the traffic")
 {
-    // All endpoints run into timeouts. Without the budget each call is sent four times, which is what keeps an
-    // overloaded route overloaded.
+    // All endpoints time out. Without the retry budget each call is sent four times, which keeps an overloaded route
+    // overloaded.
     for (const bool fault : {false, true}) {
         RoutingOptions options;
         options.retryBurst = 5;
@@ -310,9 +311,9 @@
     }
 }
 
-TEST_CASE("an endpoint that can't be reached is left alone, then tried by one call at a time")
+TEST_CASE("an open circuit breaker blocks an unreachable endpoint, then allows one probe at a time")
 {
-    // Every call tries the dead endpoint first without the breaker, and pays for the failed connection.
+    // Without the circuit breaker every call tries the dead endpoint first and pays for the failed connection.
     for (const bool fault : {false, true}) {
         RoutingOptions options;
         options.faults.noBreaker = fault;
@@ -342,9 +343,10 @@
     }
 }
 
-TEST_CASE("a leaving endpoint gets nothing new though the host list still shows it")
+TEST_CASE("a leaving endpoint gets no new calls although the host list still shows it")
 {
-    // The endpoint says that it leaves; the host list shows it as live for seconds. Calls sent there would be cut.
+    // The host list shows an endpoint as live for seconds after it has announced that it is leaving. Calls sent there
+    // would be cut off.
     for (const bool fault : {false, true}) {
         RoutingOptions options;
         options.faults.ignoreLeaving = fault;
@@ -362,7 +364,7 @@
     checkError(router.errorOf(router.add(router.make())), ErrorKind::NoEndpoint, Execution::NotRun);
 }
 
-TEST_CASE("a process that several routes list is one: its notices reach all of them and it dies once")
+TEST_CASE("notices and deaths of a process apply to all routes that list it")
 {
     TestRouter router;
     std::vector<EndpointSpec> specs;
@@ -398,7 +400,7 @@
     checkError(router.errorOf(first), ErrorKind::SuspectRequest, Execution::Unknown);
 }
 
-TEST_CASE("an endpoint that is no longer listed keeps its calls and gets no new ones")
+TEST_CASE("an endpoint that is no longer listed keeps its calls in flight and gets no new ones")
 {
     TestRouter router;
     router.listEndpoints({endpoint("a"), endpoint("far", 4, RemoteDataCentre)});
@@ -413,10 +415,10 @@
     CHECK(router.state.endpoints.size() == 2);
 }
 
-TEST_CASE("one customer's flood does not hold up the others")
+TEST_CASE("a flood of calls of one customer does not delay other customers")
 {
-    // Customer "flood" has a hundred calls waiting when another customer's single call comes. First come, first served
-    // sends it last.
+    // Customer "flood" has a hundred calls waiting when the single call of another customer arrives. In order of
+    // arrival that call would be served last.
     for (const bool fault : {false, true}) {
         RoutingOptions options;
         options.maxQueueWait = 60s;
@@ -436,7 +438,7 @@
     }
 }
 
-TEST_CASE("a full queue refuses the customer that fills it")
+TEST_CASE("a full queue refuses calls of the customer that fills it")
 {
     RoutingOptions options;
     options.maxQueued = 10;
@@ -455,10 +457,10 @@
     CHECK(router.errorOf(flood[10])->retryAfter);
 }
 
-TEST_CASE("a call that can't be met in time is refused at once, with when to come back")
+TEST_CASE("a call that cannot meet its deadline is refused at once, with a retry time")
 {
-    // Calls take a second and fifty wait for one slot. The caller with a two-second deadline learns so now; without the
-    // early refusal it learns so after two seconds.
+    // Calls take one second and fifty wait for one slot. A call with a deadline of two seconds is refused at once;
+    // without early refusal its caller learns so only after two seconds.
     for (const bool fault : {false, true}) {
         RoutingOptions options;
         options.maxQueueWait = 60s;
@@ -483,7 +485,7 @@
     }
 }
 
-TEST_CASE("a call that is still waiting at its end gets its answer then")
+TEST_CASE("a call that exceeds the maximum queue time is refused")
 {
     RoutingOptions options;
     options.maxQueueWait = 500ms;
@@ -498,7 +500,7 @@
     CHECK(queuedCalls(router.state) == 0);
 }
 
-TEST_CASE("cancelled calls leave no trace and make room")
+TEST_CASE("cancelled calls are removed and free their slots")
 {
     TestRouter router;
     router.listEndpoints({endpoint("a", 1)});
--- a/godwit/routing/sim_engine.cpp
+++ b/godwit/routing/sim_engine.cpp
@@ -76,7 +76,7 @@
     }
 }
 
-// The part of the prompt that is not cached; marks what is cached as used.
+// Returns the prompt tokens that are not cached, and marks the cached blocks as used.
 double Engine::processedPart(const Job &job)
 {
     std::size_t held = 0;
--- a/godwit/routing/sim_engine.h
+++ b/godwit/routing/sim_engine.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// A simulated model engine for tests and benchmarks: a batch of bounded size, prompts processed one after the other, a
-// prefix cache of bounded size, late load reports and cache events. Simulated time; not part of the product.
+// A simulated model engine for tests and benchmarks: a batch of bounded size, sequential prompt processing, a prefix
+// cache of bounded size, load reports and cache events. Runs in simulated time; not part of the product.
 //
 // Example:
-//   SimEngine engine(clock, options, notify);
+//   Engine engine(clock, options, notify);
 //   engine.submit(job);
-//   // notify(SimEngineEvent::FirstToken, job), later notify(SimEngineEvent::Completed, job)
+//   // notify(EngineEvent::FirstToken, job), later notify(EngineEvent::Completed, job)
 
 #include "godwit/base/ids.h"
 #include "godwit/base/time.h"
@@ -23,7 +23,7 @@
 namespace Godwit::Sim
 {
 
-// Steps of a simulation in the order of their time.
+// Simulated clock that runs scheduled steps in order of time.
 class Clock
 {
 public:
@@ -43,7 +43,7 @@
     double promptTokens = 0;
     double outputTokens = 0;
     std::vector<std::uint64_t> blocks;
-    // Crashes the engine so long after its prompt processing has begun; zero for harmless ones.
+    // Crashes the engine this long after its prompt processing has begun; zero for harmless requests.
     Duration crashAfter{};
 };
 
@@ -59,10 +59,10 @@
     EndpointId id;
     int slots = 16;
     double prefillTokensPerSecond = 8000;
-    // Time of one token for each running request: a base and a part for each request in the batch.
+    // Seconds per output token: a base, plus a part for each request in the batch.
     double tokenSeconds = 0.020;
     double tokenSecondsPerRequest = 0.0005;
-    // All work takes so many times longer.
+    // Factor on the time of all work.
     double slowness = 1;
     std::size_t cacheBlocks = 600;
     double tokensPerBlock = 64;
@@ -78,11 +78,11 @@
 
     void submit(const Job &job);
     void cancel(std::uint64_t job);
-    // All jobs fail; it comes back empty after EngineOptions::restartAfter.
+    // Fails all jobs. The engine restarts empty after EngineOptions::restartAfter.
     void crash();
 
     LoadReport load() const;
-    // Cache events since the last call.
+    // Returns the cache events since the last call.
     CacheEventBatch takeEvents();
 
     bool alive = true;
@@ -101,7 +101,7 @@
     Clock &m_clock;
     EngineOptions m_options;
     Notify m_notify;
-    // Raised by a crash, so that steps planned before it do nothing.
+    // Incremented by a crash, so that steps scheduled before it have no effect.
     std::uint64_t m_generation = 1;
     std::deque<Job> m_queue;
     std::deque<std::uint64_t> m_prompts;
--- a/godwit/routing/sim_fleet.cpp
+++ b/godwit/routing/sim_fleet.cpp
@@ -51,7 +51,7 @@
 {
     RoutingState state;
     TimePoint wakeAt;
-    // For the baselines.
+    // Used by the baseline policies only.
     std::size_t next = 0;
     std::vector<int> connections;
     std::vector<int> reported;
@@ -77,7 +77,7 @@
         spec.slots = engine.slots;
         spec.modelEngine = true;
         if (options.enginesPerHost > 0) {
-            // Engines of one host are of one data centre.
+            // The engines of a host are in the same data centre.
             const auto place = i / options.dataCentres / options.enginesPerHost;
             spec.host = HostId("host-" + std::to_string(place * options.dataCentres + i % options.dataCentres));
         }
@@ -147,7 +147,7 @@
     });
 }
 
-// A few customers are large: customer n sends in proportion to 1/(n+1).
+// Skewed sizes: customer n sends requests in proportion to 1/(n+1).
 std::size_t Fleet::pickCustomer()
 {
     double sum = 0;
@@ -164,7 +164,7 @@
     return m_options.customers - 1;
 }
 
-// As the address answer does: small customers stay on two routers, large ones are spread.
+// Imitates chooseAddresses(): small customers use two routers, large ones are spread over all.
 std::size_t Fleet::pickRouter(std::size_t customer)
 {
     const std::size_t spread = customer < 3 ? m_options.routers : std::min<std::size_t>(2, m_options.routers);
@@ -177,7 +177,7 @@
     Request request;
     request.customer = customer;
     request.outputTokens = m_options.outputTokens * (0.5 + uniform());
-    // Some documents are asked about much more often than others.
+    // Skewed popularity of the documents.
     const double skew = uniform();
     const auto document =
         static_cast<std::uint64_t>(skew * skew * static_cast<double>(m_options.documents)) + customer * 100'000;
--- a/godwit/routing/sim_fleet.h
+++ b/godwit/routing/sim_fleet.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// A simulated fleet for tests and benchmarks of routing: callers, routers that decide by the product's functions or by
-// a simple baseline, and simulated engines. Simulated time, one seed; not part of the product.
+// A simulated fleet for tests and benchmarks of routing: callers, routers that decide with the functions of the product
+// or with a simple baseline, and simulated engines. Simulated time, reproducible from one seed; not part of the
+// product.
 //
 // Example:
 //   Fleet fleet(options);
@@ -28,12 +29,12 @@
     Godwit,
     RoundRobin,
     LeastConnections,
-    // Refuses when each engine has the router's equal part of its slots.
+    // As LeastConnections, but refuses when all engines have the router's equal share of their slots in use.
     LeastConnectionsBounded,
     TwoChoices,
 };
 
-// A request that crashes each engine that runs it, and whose caller sends it again.
+// Requests that crash each engine that runs them, and whose callers send them again.
 struct PoisonOptions
 {
     int requests = 0;
@@ -51,16 +52,16 @@
     std::size_t routers = 8;
     std::size_t engines = 18;
     std::size_t dataCentres = 3;
-    // Engines of one host; 0 leaves the hosts unknown.
+    // Engines per host; 0 leaves the hosts unknown.
     std::size_t enginesPerHost = 1;
     EngineOptions engine;
     std::size_t slowEngines = 0;
     double slowness = 4;
-    // Requests a second over all customers, and the part of them that customer 0 sends beyond its usual part.
+    // Requests per second of all customers, and additional requests per second of customer 0.
     double rate = 40;
     double floodRate = 0;
     std::size_t customers = 10;
-    // Documents of each customer that prompts begin with, after the customer's own instructions.
+    // Prompts begin with the instructions of the customer, followed by one of its documents.
     std::size_t documents = 40;
     double instructionTokens = 512;
     double documentTokens = 1024;
@@ -71,7 +72,7 @@
     Duration crossDataCentreDelay = std::chrono::milliseconds(2);
     Duration reportEvery = std::chrono::milliseconds(500);
     Duration reportDelay = std::chrono::milliseconds(200);
-    // Part of the cache event batches that are lost.
+    // Fraction of the cache event batches that are lost.
     double lostEvents = 0.02;
     Duration noticeDelay = std::chrono::milliseconds(3);
     bool repeatable = true;
@@ -91,24 +92,24 @@
     std::uint64_t completed = 0;
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
-    // Requests other than poisonous ones that were refused as suspects.
+    // Harmless requests that were refused as suspects.
     std::uint64_t innocentsRefused = 0;
     std::uint64_t poisonRefused = 0;
     int crashes = 0;
     double promptTokens = 0;
     double processedTokens = 0;
-    // Seconds from the caller's send to its first token, unsorted.
+    // Seconds from the caller's send to the first token, unsorted.
     std::vector<double> firstToken;
-    // The same of the requests that were not of customer 0.
+    // The same without the requests of customer 0.
     std::vector<double> othersFirstToken;
-    // Seconds from a router's receipt of a request to its first dispatch.
+    // Seconds from arrival at the router to the first dispatch.
     std::vector<double> routerWait;
     std::vector<double> othersRouterWait;
     std::vector<CustomerResult> customers;
     std::uint64_t dispatched = 0;
 };
 
-// What counts as in time in CustomerResult::inTime.
+// Limit on the time to first token for CustomerResult::inTime.
 constexpr double InTimeSeconds = 0.88;
 
 class Fleet
@@ -118,7 +119,7 @@
     ~Fleet();
 
     void run(Duration time);
-    // Ends the stream of new requests; those under way go on.
+    // Stops new requests; those in progress continue.
     void stopArrivals();
     // All engines of a data centre fail within `spread`.
     void failDataCentre(std::size_t dataCentre, Duration spread);
--- a/godwit/routing/suspects_test.cpp
+++ b/godwit/routing/suspects_test.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("one death condemns nobody")
+TEST_CASE("a single death convicts no request")
 {
     SuspectTracker tracker;
     recordSuspect(tracker, death("a", 0s), 7);
@@ -40,7 +40,7 @@
     CHECK(verdictFor(tracker, 8, Start + 1s) == Verdict::Unsuspected);
 }
 
-TEST_CASE("the only one in flight at two deaths is convicted, and the refusal ends")
+TEST_CASE("the only request in flight at two deaths is convicted, and the conviction expires")
 {
     SuspectTracker tracker;
     for (const std::uint64_t fingerprint : {7, 8, 9}) {
@@ -57,7 +57,7 @@
     CHECK(tracker.deathCount.empty());
 }
 
-TEST_CASE("two that were at the same two deaths are told apart before either is convicted")
+TEST_CASE("two requests that share two deaths are not convicted until a third death separates them")
 {
     SuspectTracker tracker;
     for (const char *endpoint : {"a", "b"}) {
@@ -73,7 +73,7 @@
     CHECK(evaluateSuspect(tracker, 7, Start + 4s) == Verdict::Convicted);
 }
 
-TEST_CASE("the same endpoint that dies twice is one endpoint")
+TEST_CASE("two deaths of the same endpoint count once")
 {
     SuspectTracker tracker;
     recordSuspect(tracker, death("a", 0s), 7);
@@ -81,10 +81,11 @@
     CHECK(evaluateSuspect(tracker, 7, Start + 40s) == Verdict::Suspected);
 }
 
-TEST_CASE("deaths of one host together condemn nobody")
+TEST_CASE("simultaneous deaths on one host do not count as separate evidence")
 {
-    // A host with two endpoints fails. The request was on one of them and was sent again to the other, which seemed
-    // alive for some milliseconds more; others died there too. Without the rule it is refused for an hour.
+    // A host with two endpoints fails, and a request that was in flight at one of them is later in flight at the death
+    // of an unrelated endpoint. The host failure must not count as evidence: otherwise the request would be convicted
+    // and refused for an hour.
     for (const bool hostsKnown : {true, false}) {
         SuspectTracker tracker;
         recordSuspect(tracker, death("a", 0ms, hostsKnown ? "h1" : ""), 7);
@@ -94,7 +95,7 @@
     }
 }
 
-TEST_CASE("a failure of many endpoints is nobody's fault, unless they share a request")
+TEST_CASE("a failure of many endpoints counts as widespread unless they share a request")
 {
     SuspectTracker tracker;
     recordSuspect(tracker, death("a", 0ms), 1);
@@ -108,7 +109,7 @@
     CHECK_FALSE(isWidespreadFailure(tracker, Start));
 }
 
-TEST_CASE("a death that was none is taken back")
+TEST_CASE("a retracted death clears the requests recorded for it")
 {
     SuspectTracker tracker;
     recordSuspect(tracker, death("a", 0s), 7);
@@ -120,12 +121,12 @@
     CHECK(verdictFor(tracker, 7, Start + 2s) == Verdict::Unsuspected);
 }
 
-TEST_CASE("a request that crashes its endpoints takes two down fleet-wide, and no innocent is refused")
+TEST_CASE("a crashing request takes down at most two endpoints fleet-wide, and no harmless request is refused")
 {
-    // Ten times a caller sends a request that crashes each engine that runs it, and sends it again six times to any
-    // router. Each router sees only the broken connections of its own calls. The calls that were beside it are sent
-    // again, each to an engine of its own, so that the second crash shows who it was. Without the safeguard each send
-    // takes down four engines.
+    // Ten requests crash each engine that runs them, and each is sent six times by its caller, to any router. Each
+    // router sees only the broken connections of its own calls. The calls that were in flight with such a request are
+    // retried on separate engines, so that the second crash identifies it. Without the safeguard each send takes down
+    // four engines.
     for (const bool fault : {false, true}) {
         auto options = smallFleet();
         options.poison.requests = 10;
@@ -144,7 +145,7 @@
     }
 }
 
-TEST_CASE("without trials of their own, those beside a poisonous request are mistaken for it or it goes on")
+TEST_CASE("without isolated trials, harmless requests are refused or the crashing request takes down more endpoints")
 {
     auto options = smallFleet();
     options.poison.requests = 10;
@@ -155,7 +156,7 @@
     CHECK((result.crashes > 20 || result.innocentsRefused > 0));
 }
 
-TEST_CASE("conviction after one death refuses the innocent")
+TEST_CASE("conviction after one death refuses harmless requests")
 {
     auto options = smallFleet();
     options.poison.requests = 3;
@@ -165,10 +166,10 @@
     CHECK(fleet.result().innocentsRefused > 0);
 }
 
-TEST_CASE("the failure of a data centre refuses nobody as a suspect, and its repeatable calls run elsewhere")
+TEST_CASE("the failure of a data centre convicts no request, and its repeatable calls are retried elsewhere")
 {
-    // All engines of a data centre die within a fifth of a second, and half a minute later those of another one. Calls
-    // that were at both are retried, not refused. Without the rule some are convicted.
+    // All engines of a data centre die within 200 ms, and shortly afterwards those of another one. Calls that were in
+    // flight at both must be retried, not refused. Without the rule on widespread failures some are convicted.
     for (const bool fault : {false, true}) {
         auto options = smallFleet();
         options.rate = 15;
