--- a/godwit/routing/addresses_test.cpp
+++ b/godwit/routing/addresses_test.cpp
@@ -34,13 +34,13 @@
 {
     AddressOptions options;
     options.customerShare = share;
-    options.pick = pick;
+    options.selector = pick;
     return options;
 }
 
 } // namespace
 
-TEST_CASE("a small customer's callers all use one host, with another data centre's host to turn to")
+TEST_CASE("callers of a small customer use one host, with a fallback in another data centre")
 {
     const auto routers = makeRouters(8);
     for (int number = 0; number < 50; ++number) {
@@ -48,7 +48,7 @@
         for (std::uint64_t pick = 0; pick < 20; ++pick) {
             const auto answer = chooseAddresses(routers, customer(number), optionsFor(0.01, pick));
             REQUIRE(answer.addresses.size() == 2);
-            CHECK(answer.keepFor == std::chrono::seconds(30));
+            CHECK(answer.ttl == std::chrono::seconds(30));
             first.insert(answer.addresses.front());
             const auto dataCentreOf = [&](const std::string &address) {
                 return std::find_if(routers.begin(),
@@ -64,7 +64,7 @@
     }
 }
 
-TEST_CASE("a large customer's callers are spread over more hosts")
+TEST_CASE("callers of a large customer are spread over several hosts")
 {
     const auto routers = makeRouters(8);
     std::set<std::string> first;
@@ -74,25 +74,25 @@
     CHECK(first.size() == 5);
 }
 
-TEST_CASE("a host that dies moves only its own customers, to different hosts")
+TEST_CASE("the death of a host moves only its own customers, to different hosts")
 {
     const auto routers = makeRouters(8);
     auto fewer = routers;
     fewer.erase(fewer.begin() + 3);
-    std::set<std::string> heirs;
+    std::set<std::string> newHosts;
     for (int number = 0; number < 400; ++number) {
         const auto before = chooseAddresses(routers, customer(number), optionsFor(0.001)).addresses.front();
         const auto after = chooseAddresses(fewer, customer(number), optionsFor(0.001)).addresses.front();
         if (before == routers[3].address) {
-            heirs.insert(after);
+            newHosts.insert(after);
         } else {
             CHECK(before == after);
         }
     }
-    CHECK(heirs.size() >= 5);
+    CHECK(newHosts.size() >= 5);
 }
 
-TEST_CASE("leaving hosts are not given while others are live")
+TEST_CASE("leaving hosts are left out while others are live")
 {
     auto routers = makeRouters(3);
     routers[0].leaving = true;
@@ -107,7 +107,7 @@
     CHECK(chooseAddresses({}, customer(1), optionsFor(1)).addresses.empty());
 }
 
-TEST_CASE("an overloaded host passes on half of the part of its callers that is too much")
+TEST_CASE("an overloaded host diverts callers for half of its excess load")
 {
     auto routers = makeRouters(8);
     int number = 0;
@@ -122,11 +122,11 @@
         const auto first = chooseAddresses(routers, customer(number), options).addresses.front();
         moved += first == routers[0].address ? 0 : 1;
     }
-    // The mean is 112.5, the bound 140.6: 30% are too much.
+    // The mean load is 112.5 and the bound 140.6, so 30% of the load is in excess.
     CHECK(static_cast<double>(moved) / callers == Approx(0.15).margin(0.03));
 }
 
-TEST_CASE("hosts of the caller's own data centre come first among those that are used")
+TEST_CASE("active hosts in the caller's data centre come first")
 {
     const auto routers = makeRouters(6);
     for (std::uint64_t pick = 0; pick < 6; ++pick) {
--- a/godwit/routing/routing_fuzz_test.cpp
+++ b/godwit/routing/routing_fuzz_test.cpp
@@ -1,6 +1,7 @@
-// Random orders of calls, ends of attempts, reports, cache events, notices, changes of the endpoint list and passing
-// time, against an oracle: a call is at one endpoint at a time and ends once; what may have run and can't be repeated
-// is never sent again; "not run" is true; endpoints that leave get nothing new; in the end nothing is left behind.
+// Runs random sequences of calls, ends of attempts, reports, cache events, notices, changes of the endpoint list and
+// passing time against a model. Checks that a call is at one endpoint at a time and ends once, that a non-repeatable
+// call that may have run is never retried, that "not run" is true, that leaving endpoints get no new calls, and that no
+// call is left in the end.
 
 #include "godwit/base/enum_names.h"
 #include "godwit/routing/routing.h"
@@ -24,7 +25,7 @@
 
 constexpr std::size_t EndpointCount = 6;
 
-enum class Move {
+enum class Operation {
     Add,
     Complete,
     ConnectFails,
@@ -42,41 +43,41 @@
     Wait,
 };
 
-constexpr EnumName<Move> MoveNames[] = {
-    {Move::Add, "add"},
-    {Move::Complete, "complete"},
-    {Move::ConnectFails, "connect fails"},
-    {Move::Reject, "reject"},
-    {Move::Crash, "crash"},
-    {Move::TimeOut, "time out"},
-    {Move::Cancel, "cancel"},
-    {Move::FirstToken, "first token"},
-    {Move::Report, "report"},
-    {Move::Cache, "cache"},
-    {Move::Notice, "notice"},
-    {Move::Relist, "relist"},
-    {Move::Leaving, "leaving"},
-    {Move::EndpointDies, "endpoint dies"},
-    {Move::Wait, "wait"},
+constexpr EnumName<Operation> OperationNames[] = {
+    {Operation::Add, "add"},
+    {Operation::Complete, "complete"},
+    {Operation::ConnectFails, "connect fails"},
+    {Operation::Reject, "reject"},
+    {Operation::Crash, "crash"},
+    {Operation::TimeOut, "time out"},
+    {Operation::Cancel, "cancel"},
+    {Operation::FirstToken, "first token"},
+    {Operation::Report, "report"},
+    {Operation::Cache, "cache"},
+    {Operation::Notice, "notice"},
+    {Operation::Relist, "relist"},
+    {Operation::Leaving, "leaving"},
+    {Operation::EndpointDies, "endpoint dies"},
+    {Operation::Wait, "wait"},
 };
 
 struct Schedule
 {
-    std::vector<std::pair<Move, std::uint32_t>> moves;
+    std::vector<std::pair<Operation, std::uint32_t>> operations;
 };
 
 std::ostream &operator<<(std::ostream &out, const Schedule &schedule)
 {
-    for (const auto &[move, value] : schedule.moves) {
-        out << enumName(MoveNames, move) << ' ' << value << "; ";
+    for (const auto &[operation, value] : schedule.operations) {
+        out << enumName(OperationNames, operation) << ' ' << value << "; ";
     }
     return out;
 }
 
-struct KnownCall
+struct ExpectedCall
 {
     bool repeatable = false;
-    // The endpoint that runs it.
+    // The endpoint at which the call is in flight.
     std::optional<std::string> at;
     bool mayHaveRun = false;
     bool ended = false;
@@ -92,39 +93,39 @@
         relist(0);
     }
 
-    void apply(Move move, std::uint32_t value)
+    void apply(Operation operation, std::uint32_t value)
     {
-        switch (move) {
-        case Move::Add:
+        switch (operation) {
+        case Operation::Add:
             add(value);
             break;
-        case Move::Complete:
+        case Operation::Complete:
             end(value, AttemptEnd::Completed);
             break;
-        case Move::ConnectFails:
+        case Operation::ConnectFails:
             end(value, AttemptEnd::ConnectFailed);
             break;
-        case Move::Reject:
+        case Operation::Reject:
             end(value, AttemptEnd::RejectedNotRun);
             break;
-        case Move::Crash:
+        case Operation::Crash:
             end(value, AttemptEnd::EndpointCrashed);
             break;
-        case Move::TimeOut:
+        case Operation::TimeOut:
             end(value, AttemptEnd::TimedOut);
             break;
-        case Move::Cancel:
+        case Operation::Cancel:
             cancel(value);
             break;
-        case Move::FirstToken:
+        case Operation::FirstToken:
             if (const auto id = pickInFlight(value)) {
                 onFirstToken(m_state, CallId(*id), m_now, m_actions);
             }
             break;
-        case Move::Report:
+        case Operation::Report:
             report(value);
             break;
-        case Move::Cache:
+        case Operation::Cache:
             onCacheEvents(
                 m_state,
                 EndpointId(endpointName(value)),
@@ -132,30 +133,30 @@
                 m_now,
                 m_actions);
             break;
-        case Move::Notice:
+        case Operation::Notice:
             notice(value);
             break;
-        case Move::Relist:
+        case Operation::Relist:
             relist(value);
             break;
-        case Move::Leaving:
-            // A notice of one that is not listed has no meaning.
+        case Operation::Leaving:
+            // A notice of an endpoint that is not listed has no effect.
             if (m_listed.count(endpointName(value)) != 0) {
                 m_leaving.insert(endpointName(value));
             }
-            endpointLeaving(m_state, EndpointId(endpointName(value)), m_now);
+            markEndpointLeaving(m_state, EndpointId(endpointName(value)), m_now);
             break;
-        case Move::EndpointDies:
+        case Operation::EndpointDies:
             endpointDies(endpointName(value));
             break;
-        case Move::Wait:
+        case Operation::Wait:
             wait(std::chrono::milliseconds(value % 700));
             break;
         }
         check();
     }
 
-    // All endpoints are well, and everything is carried to its end.
+    // Lists all endpoints again and completes all calls.
     void settle()
     {
         m_leaving.clear();
@@ -170,21 +171,22 @@
             check();
         }
         for (const auto &[id, call] : m_calls) {
-            expect(call.ended, "a call never ended");
+            expect(call.ended, "a call did not end");
         }
-        expect(m_state.calls.empty() && queuedCalls(m_state) == 0 && callsInFlight(m_state) == 0, "calls left behind");
+        expect(m_state.calls.empty() && queuedCalls(m_state) == 0 && callsInFlight(m_state) == 0,
+               "calls remain in the routing state");
         for (const auto &route : m_state.routes) {
-            expect(route.queue.size == 0 && route.retries.empty() && route.inFlight == 0, "a queue is left behind");
+            expect(route.queue.size == 0 && route.retries.empty() && route.inFlight == 0, "a queue is not empty");
         }
     }
 
-    std::vector<std::string> faults;
+    std::vector<std::string> violations;
 
 private:
     void expect(bool holds, const std::string &fault)
     {
         if (!holds) {
-            faults.push_back(fault);
+            violations.push_back(fault);
         }
     }
 
@@ -284,7 +286,7 @@
         onSuspectNotice(m_state, notice, m_now, m_actions);
     }
 
-    // Lists those endpoints whose bit in `missing` is not set.
+    // Lists the endpoints whose bit in `missing` is not set.
     void relist(std::uint32_t missing)
     {
         std::vector<EndpointSpec> specs;
@@ -303,13 +305,13 @@
             m_listed.insert(spec.id.value);
             specs.push_back(spec);
         }
-        // One that was gone and is listed again has forgotten that it was leaving.
+        // An endpoint that is listed again after it was missing is no longer leaving.
         for (auto it = m_leaving.begin(); it != m_leaving.end();) {
             it = m_listed.count(*it) == 0 ? m_leaving.erase(it) : std::next(it);
         }
         if (missing == 0) {
-            // In the end all are well again: the leaving notices have run out.
-            m_now += m_leaving.empty() ? Duration::zero() : m_state.options.leavingMemory;
+            // When all endpoints are listed again, their leaving notices have expired.
+            m_now += m_leaving.empty() ? Duration::zero() : m_state.options.leavingNoticeTtl;
             m_leaving.clear();
         }
         setEndpoints(m_state, specs, m_now, m_actions);
@@ -326,9 +328,9 @@
             }
             m_now = std::max(m_now, *wake);
             onTick(m_state, m_now, m_actions);
-            expect(!nextWake(m_state) || *nextWake(m_state) > m_now, "a timer that is due was left standing");
+            expect(!nextWake(m_state) || *nextWake(m_state) > m_now, "a timer that is due did not run");
             check();
-            expect(++steps < 10'000, "timers go on without end");
+            expect(++steps < 10'000, "timers are rescheduled without end");
             if (steps >= 10'000) {
                 break;
             }
@@ -343,11 +345,12 @@
         for (const auto &action : actions) {
             if (const auto *sent = std::get_if<Dispatch>(&action)) {
                 checkDispatch(*sent);
-            } else if (const auto *given = std::get_if<GiveUp>(&action)) {
+            } else if (const auto *given = std::get_if<FailCall>(&action)) {
                 auto &call = m_calls.at(given->call.value);
-                expect(!call.ended, "ended twice");
-                expect(!call.at, "given up while an endpoint runs it");
-                expect(given->error.execution != Execution::NotRun || !call.mayHaveRun, "an untrue 'not run'");
+                expect(!call.ended, "a call ended twice");
+                expect(!call.at, "a call failed while it was in flight");
+                expect(given->error.execution != Execution::NotRun || !call.mayHaveRun,
+                       "a call that may have run was reported as not run");
                 call.ended = true;
             }
         }
@@ -362,18 +365,18 @@
     void checkDispatch(const Dispatch &sent)
     {
         auto &call = m_calls.at(sent.call.value);
-        expect(!call.ended, "sent after its end");
-        expect(!call.at, "sent while an endpoint runs it");
-        expect(call.repeatable || !call.mayHaveRun, "sent again though it may have run");
-        expect(m_listed.count(sent.endpoint.value) != 0, "sent to an endpoint that is not listed");
-        expect(m_leaving.count(sent.endpoint.value) == 0, "sent to an endpoint that is leaving");
+        expect(!call.ended, "a call was dispatched after its end");
+        expect(!call.at, "a call was dispatched while it was in flight");
+        expect(call.repeatable || !call.mayHaveRun, "a non-repeatable call that may have run was dispatched again");
+        expect(m_listed.count(sent.endpoint.value) != 0, "a call was dispatched to an unlisted endpoint");
+        expect(m_leaving.count(sent.endpoint.value) == 0, "a call was dispatched to a leaving endpoint");
         call.at = sent.endpoint.value;
     }
 
     RoutingState m_state;
     TimePoint m_now = TimePoint(1h);
     std::vector<RoutingAction> m_actions;
-    std::map<std::uint64_t, KnownCall> m_calls;
+    std::map<std::uint64_t, ExpectedCall> m_calls;
     std::set<std::string> m_listed;
     std::set<std::string> m_leaving;
     std::uint64_t m_nextCall = 1;
@@ -381,24 +384,24 @@
 
 rc::Gen<Schedule> schedules()
 {
-    const auto move = rc::gen::weightedElement<Move>({{30, Move::Add},
-                                                      {12, Move::Complete},
-                                                      {4, Move::ConnectFails},
-                                                      {3, Move::Reject},
-                                                      {4, Move::Crash},
-                                                      {3, Move::TimeOut},
-                                                      {3, Move::Cancel},
-                                                      {4, Move::FirstToken},
-                                                      {6, Move::Report},
-                                                      {3, Move::Cache},
-                                                      {3, Move::Notice},
-                                                      {2, Move::Relist},
-                                                      {1, Move::Leaving},
-                                                      {3, Move::EndpointDies},
-                                                      {10, Move::Wait}});
-    const auto moves = rc::gen::container<std::vector<std::pair<Move, std::uint32_t>>>(
-        100, rc::gen::pair(move, rc::gen::arbitrary<std::uint32_t>()));
-    return rc::gen::map(moves, [](auto list) {
+    const auto operation = rc::gen::weightedElement<Operation>({{30, Operation::Add},
+                                                                {12, Operation::Complete},
+                                                                {4, Operation::ConnectFails},
+                                                                {3, Operation::Reject},
+                                                                {4, Operation::Crash},
+                                                                {3, Operation::TimeOut},
+                                                                {3, Operation::Cancel},
+                                                                {4, Operation::FirstToken},
+                                                                {6, Operation::Report},
+                                                                {3, Operation::Cache},
+                                                                {3, Operation::Notice},
+                                                                {2, Operation::Relist},
+                                                                {1, Operation::Leaving},
+                                                                {3, Operation::EndpointDies},
+                                                                {10, Operation::Wait}});
+    const auto operations = rc::gen::container<std::vector<std::pair<Operation, std::uint32_t>>>(
+        100, rc::gen::pair(operation, rc::gen::arbitrary<std::uint32_t>()));
+    return rc::gen::map(operations, [](auto list) {
         return Schedule{std::move(list)};
     });
 }
@@ -406,14 +409,14 @@
 std::vector<std::string> run(const Schedule &schedule, const RoutingOptions &options)
 {
     Driver driver(options);
-    for (const auto &[move, value] : schedule.moves) {
-        driver.apply(move, value);
+    for (const auto &[operation, value] : schedule.operations) {
+        driver.apply(operation, value);
     }
     driver.settle();
-    return driver.faults;
+    return driver.violations;
 }
 
-bool breaksWith(const RoutingFaults &faults, int tries)
+bool findsViolation(const RoutingFaults &faults, int tries)
 {
     RoutingOptions options;
     options.faults = faults;
@@ -428,9 +431,9 @@
 
 } // namespace
 
-TEST_CASE("no order of events sends a call twice, tells an untruth or loses a call")
+TEST_CASE("random event sequences never run a call twice, misreport its execution or lose it")
 {
-    // Overridden by the same variable in the environment.
+    // The environment overrides this default.
     setenv("RC_PARAMS", "seed=20261202 max_success=2000 max_size=100", 0);
     std::printf("RC_PARAMS=%s\n", std::getenv("RC_PARAMS"));
     const bool held = rc::check("routing", [] {
@@ -442,14 +445,14 @@
     CHECK(held);
 }
 
-TEST_CASE("the fuzzer finds the safeguards that are taken out")
+TEST_CASE("the fuzzer detects disabled safeguards")
 {
     constexpr int tries = 200;
-    CHECK_FALSE(breaksWith({}, tries));
+    CHECK_FALSE(findsViolation({}, tries));
     RoutingFaults faults;
     faults.retryNotRepeatable = true;
-    CHECK(breaksWith(faults, tries));
+    CHECK(findsViolation(faults, tries));
     faults = {};
     faults.ignoreLeaving = true;
-    CHECK(breaksWith(faults, tries));
+    CHECK(findsViolation(faults, tries));
 }
