--- a/godwit/daemon/fleet_links.cpp
+++ b/godwit/daemon/fleet_links.cpp
@@ -302,12 +302,12 @@
             held[customer.value] = encodeHolding(customer);
         }
     }
-    return encodeCbor(json{{"ready", m_relay.isReady()},
-                           {"store", m_relay.state().platformInReach},
-                           {"copies", encodeCopyStates()},
-                           {"load", m_load},
-                           {"capacity", m_options.ownCapacity},
-                           {"held", std::move(held)}});
+    return encodeFleetMessage(json{{"ready", m_relay.isReady()},
+                                   {"store", m_relay.state().platformInReach},
+                                   {"copies", encodeCopyStates()},
+                                   {"load", m_load},
+                                   {"capacity", m_options.ownCapacity},
+                                   {"held", std::move(held)}});
 }
 
 void FleetLinks::onLinkUp(const Hello &hello)
@@ -370,7 +370,7 @@
 
 void FleetLinks::onHeartbeat(Peer &peer, const std::string &body)
 {
-    const json heartbeat = decodeCbor(body);
+    const json heartbeat = decodeFleetMessage(body);
     if (!heartbeat.is_object()) {
         return;
     }
@@ -398,13 +398,13 @@
     if (ledger.size() > m_options.maxSharedLedgerBytes) {
         return;
     }
-    const std::string body = encodeCbor(json::array({revision, ledger}));
+    const std::string body = encodeFleetMessage(json::array({revision, ledger}));
     sendToAdvertised({LedgerTopic, body});
 }
 
 void FleetLinks::onLedger(const std::string &body)
 {
-    const json message = decodeCbor(body);
+    const json message = decodeFleetMessage(body);
     if (!message.is_array() || message.size() != 2 || !message[0].is_number_unsigned() || !message[1].is_string()) {
         return;
     }
@@ -441,12 +441,12 @@
         : std::max(minSeconds, m_minAnnouncedSeconds / std::min(elapsedIntervals, step));
     m_promptAnnouncedAt = now;
     sendToAdvertised(
-        {PromptTopic, encodeCbor(json::array({prompt.endpoint.value, prompt.uncachedTokens, prompt.prefix}))});
+        {PromptTopic, encodeFleetMessage(json::array({prompt.endpoint.value, prompt.uncachedTokens, prompt.prefix}))});
 }
 
 void FleetLinks::onPromptAnnounced(const std::string &body)
 {
-    const json message = decodeCbor(body);
+    const json message = decodeFleetMessage(body);
     const bool wellFormed = message.is_array() && message.size() == 3 && message[0].is_string()
         && message[1].is_number_integer() && message[2].is_string();
     if (!wellFormed) {
--- a/godwit/daemon/fleet_messages.cpp
+++ b/godwit/daemon/fleet_messages.cpp
@@ -14,14 +14,14 @@
 
 } // namespace
 
-std::string encodeCbor(const json &value)
+std::string encodeFleetMessage(const json &value)
 {
     std::string bytes;
     json::to_cbor(value, bytes);
     return bytes;
 }
 
-json decodeCbor(const std::string &bytes)
+json decodeFleetMessage(const std::string &bytes)
 {
     if (!hasBoundedShape(bytes, MaxDepth)) {
         return {};
--- a/godwit/daemon/fleet_messages.h
+++ b/godwit/daemon/fleet_messages.h
@@ -4,7 +4,7 @@
 // process.
 //
 // Example:
-//   mesh.send(peer, {internal::TokenTransferTopic, internal::encodeCbor(json::array({customer, amount}))});
+//   mesh.send(peer, {internal::TokenTransferTopic, internal::encodeFleetMessage(json::array({customer, amount}))});
 
 #include "godwit/base/ids.h"
 
@@ -34,10 +34,10 @@
 // Capacity of Amounts::tokens.
 inline constexpr std::size_t MaxAmounts = 3;
 
-std::string encodeCbor(const nlohmann::json &value);
+std::string encodeFleetMessage(const nlohmann::json &value);
 
 // Returns null for malformed input, such as a message of another version or of a faulty process.
-nlohmann::json decodeCbor(const std::string &bytes);
+nlohmann::json decodeFleetMessage(const std::string &bytes);
 
 struct Amounts
 {
--- a/godwit/daemon/fleet_replication.cpp
+++ b/godwit/daemon/fleet_replication.cpp
@@ -30,12 +30,13 @@
 
 std::string encodeRelayed(const RelayedUpdate &relayed)
 {
-    return encodeCbor(json::array({relayed.members, relayed.origin, encodeState(relayed.state), relayed.update}));
+    return encodeFleetMessage(
+        json::array({relayed.members, relayed.origin, encodeState(relayed.state), relayed.update}));
 }
 
 std::optional<RelayedUpdate> decodeRelayed(const std::string &bytes)
 {
-    const json message = decodeCbor(bytes);
+    const json message = decodeFleetMessage(bytes);
     try {
         RelayedUpdate relayed;
         relayed.members = message.at(0).get<std::vector<std::string>>();
--- a/godwit/daemon/fleet_token_transfers.cpp
+++ b/godwit/daemon/fleet_token_transfers.cpp
@@ -101,7 +101,7 @@
     }
     const Tokens timestamp = now.time_since_epoch().count();
     m_mesh->send(home->member.incarnation,
-                 {TokenRequestTopic, encodeCbor(json::array({customer.value, lacking, timestamp}))});
+                 {TokenRequestTopic, encodeFleetMessage(json::array({customer.value, lacking, timestamp}))});
     armResponseTimer();
 }
 
@@ -133,7 +133,8 @@
         if (lacking > 0 && peer.linked && isResponsive(peer, now) && entry != known.end()
             && entry->second.spendable > 0) {
             const Tokens part = std::min(lacking, entry->second.spendable);
-            m_mesh->send(incarnation, {TokenReclaimTopic, encodeCbor(json::array({customer.value, part, part}))});
+            m_mesh->send(incarnation,
+                         {TokenReclaimTopic, encodeFleetMessage(json::array({customer.value, part, part}))});
             lacking -= part;
             // The peer's next heartbeat corrects this estimate.
             entry->second.spendable -= part;
@@ -355,7 +356,7 @@
 
 void FleetLinks::onTokenRequest(const Peer &peer, const std::string &body)
 {
-    const auto amounts = decodeAmounts(decodeCbor(body), 2);
+    const auto amounts = decodeAmounts(decodeFleetMessage(body), 2);
     if (!amounts || amounts->tokens[0] <= 0) {
         return;
     }
@@ -409,7 +410,7 @@
     const auto peer = std::find_if(m_peers.begin(), m_peers.end(), [&transfer](const auto &entry) {
         return entry.second.linked && entry.second.member.callerAddress == transfer.to.value;
     });
-    const std::string body = encodeCbor(
+    const std::string body = encodeFleetMessage(
         json::array({transfer.customer.value, transfer.amount, encodeHolding(transfer.customer), timestamp}));
     if (peer == m_peers.end() || !m_mesh->send(peer->first, {TokenTransferTopic, body})) {
         // The message was not sent, so the tokens are restored.
@@ -419,7 +420,7 @@
 
 void FleetLinks::onTokenReclaim(const Peer &peer, const std::string &body)
 {
-    const auto amounts = decodeAmounts(decodeCbor(body), 2);
+    const auto amounts = decodeAmounts(decodeFleetMessage(body), 2);
     if (!amounts) {
         return;
     }
@@ -432,7 +433,7 @@
 
 void FleetLinks::onTokenTransfer(Peer &peer, const std::string &body)
 {
-    const json message = decodeCbor(body);
+    const json message = decodeFleetMessage(body);
     if (!message.is_array() || message.size() != 4 || !message[3].is_number_integer()) {
         return;
     }
--- a/godwit/daemon/prefix_messages.cpp
+++ b/godwit/daemon/prefix_messages.cpp
@@ -97,7 +97,7 @@
 template<typename Message, typename Read>
 std::optional<Message> decode(const std::string &bytes, Read read)
 {
-    const json message = decodeCbor(bytes);
+    const json message = decodeFleetMessage(bytes);
     if (!message.is_array()) {
         return std::nullopt;
     }
@@ -129,12 +129,12 @@
     for (const ItemDelta &delta : update.deltas) {
         deltas.push_back(encodeDelta(delta));
     }
-    return encodeCbor(json::array({encodeState(update.state),
-                                   update.fromFullRead,
-                                   update.truncated,
-                                   encodeRecovery(update.storeRecovery),
-                                   encodeItems(update.changes),
-                                   std::move(deltas)}));
+    return encodeFleetMessage(json::array({encodeState(update.state),
+                                           update.fromFullRead,
+                                           update.truncated,
+                                           encodeRecovery(update.storeRecovery),
+                                           encodeItems(update.changes),
+                                           std::move(deltas)}));
 }
 
 std::optional<PrefixUpdate> decodeUpdate(const std::string &bytes)
@@ -155,12 +155,12 @@
 
 std::string encodeSnapshot(const PrefixSnapshot &snapshot)
 {
-    return encodeCbor(json::array({encodeState(snapshot.state),
-                                   toMilliseconds(snapshot.age),
-                                   snapshot.timestamp,
-                                   snapshot.items ? encodeItems(*snapshot.items) : json(),
-                                   toMilliseconds(snapshot.aheadFor),
-                                   snapshot.deferred}));
+    return encodeFleetMessage(json::array({encodeState(snapshot.state),
+                                           toMilliseconds(snapshot.age),
+                                           snapshot.timestamp,
+                                           snapshot.items ? encodeItems(*snapshot.items) : json(),
+                                           toMilliseconds(snapshot.aheadFor),
+                                           snapshot.deferred}));
 }
 
 std::optional<PrefixSnapshot> decodeSnapshot(const std::string &bytes)
@@ -182,7 +182,7 @@
 
 std::string encodeSnapshotRequest(const SnapshotRequest &request)
 {
-    return encodeCbor(
+    return encodeFleetMessage(
         json::array({request.prefix, request.timestamp, request.digest, request.stateOnly, request.newestRevision}));
 }
 
