--- a/godwit/relay/relay_call.cpp
+++ b/godwit/relay/relay_call.cpp
@@ -212,7 +212,7 @@
 {
     sendTo(choice);
     if (m_service != nullptr && m_service->engine && m_facts.promptTokens > 0) {
-        beginPrefill(*choice.endpoint, choice.uncachedTokens);
+        recordPrefillStart(*choice.endpoint, choice.uncachedTokens);
     }
 }
 
@@ -224,7 +224,7 @@
     return warm ? *warm - now + randomizedRetryAfter() : m_relay.options().defaultRetryAfter;
 }
 
-void RelayCall::beginPrefill(EndpointState &endpoint, Tokens unread)
+void RelayCall::recordPrefillStart(EndpointState &endpoint, Tokens unread)
 {
     const PrefillSpeed &speed = m_relay.state().endpoints.prefillSpeeds[m_serviceName];
     do {
--- a/godwit/relay/relay_call.h
+++ b/godwit/relay/relay_call.h
@@ -132,7 +132,7 @@
     Tokens usedTokens() const;
     Duration timeLeft() const;
     EndpointState *currentEndpoint();
-    void beginPrefill(EndpointState &endpoint, Tokens unread);
+    void recordPrefillStart(EndpointState &endpoint, Tokens unread);
     void onFirstEvent();
     void dropPrefill();
 
