--- a/godwit/gateway/connection_pause.h
+++ b/godwit/gateway/connection_pause.h
@@ -10,7 +10,7 @@
 // Pure functions: time is passed in. Example:
 //   recordRequestCount(pauses, counters.requests, now);
 //   recordMessageLag(pauses, lag, now);
-//   if (const auto pause = computePause(pauses, isBehind, options, now)) { listener.pause(*pause); }
+//   if (const auto pause = computePause(pauses, isStale, options, now)) { listener.pause(*pause); }
 
 #include "godwit/base/time.h"
 
--- a/godwit/gateway/response_ending.h
+++ b/godwit/gateway/response_ending.h
@@ -5,9 +5,9 @@
 // Pure functions. Example:
 //   ResponseEnding ending;
 //   ending.framing = ResponseFraming::Connection;
-//   ending.connection = ConnectionEnd::InOrder;
+//   ending.connection = ConnectionEnd::Closed;
 //   ending.position = StreamPosition::InsideEvent;
-//   completenessOf(ending) == ResponseCompleteness::BrokenOff;
+//   completenessOf(ending) == ResponseCompleteness::Truncated;
 
 #include "godwit/base/stream_position.h"
 
--- a/godwit/gateway/retry_budget.h
+++ b/godwit/gateway/retry_budget.h
@@ -8,7 +8,7 @@
 //
 // Example:
 //   countRequest(budget, options, now);
-//   if (tryTakeRetry(budget, options, fractionOf(usableShares(shares, now, uptime)), now).granted) { sendAgain(); }
+//   if (tryTakeRetry(budget, options, fractionOf(usableShares(shares, now, uptime)), now).granted) { retry(); }
 
 #include "godwit/base/time.h"
 
