--- a/godwit/daemon/gateway.cpp
+++ b/godwit/daemon/gateway.cpp
@@ -675,13 +675,13 @@
     void updateAgreement()
     {
         RelayState &state = m_relay.state();
-        state.endpointsAgreement = m_endpointEntries.freshness();
-        state.documentAgreement = m_documents.freshness();
+        state.endpointsFreshness = m_endpointEntries.freshness();
+        state.documentFreshness = m_documents.freshness();
         const bool outdated = m_relay.hasOutdatedCopy(Relay::now());
         if (outdated && !m_copiesOutdated) {
             m_log.write("copies_outdated",
-                        {{"endpoints_ms", agreementAgeMs(state.endpointsAgreement)},
-                         {"document_ms", agreementAgeMs(state.documentAgreement)}});
+                        {{"endpoints_ms", agreementAgeMs(state.endpointsFreshness)},
+                         {"document_ms", agreementAgeMs(state.documentFreshness)}});
         }
         m_copiesOutdated = outdated;
     }
--- a/godwit/daemon/suspect_coordinator.cpp
+++ b/godwit/daemon/suspect_coordinator.cpp
@@ -125,7 +125,7 @@
 void SuspectCoordinator::clearAnsweredRequest(std::uint64_t fingerprint)
 {
     RelayState &state = m_relay.state();
-    forgetInterruptionsOf(state.crashWatch, fingerprint);
+    forgetInterruptionsOf(state.crashDetector, fingerprint);
     m_labels.erase(fingerprint);
     m_ownTrials.erase(fingerprint);
     const auto known = m_records.find(fingerprint);
--- a/godwit/daemon/suspect_deaths.cpp
+++ b/godwit/daemon/suspect_deaths.cpp
@@ -45,7 +45,7 @@
             }
         });
     }
-    CrashDetector &watch = m_relay.state().crashWatch;
+    CrashDetector &watch = m_relay.state().crashDetector;
     if (recordInterruption(watch, endpoint->listed, interrupted.run)) {
         probePort(watch.interruptions.at(interrupted.endpoint));
     }
@@ -55,7 +55,7 @@
 {
     probeEndpoint(
         m_io, interruptions.address, m_options.probeTimeout, [this, id = interruptions.id](ProbeOutcome outcome) {
-            CrashDetector &watch = m_relay.state().crashWatch;
+            CrashDetector &watch = m_relay.state().crashDetector;
             if (outcome != ProbeOutcome::Refuses) {
                 for (const InterruptedAttempt &run : recordNoCrash(watch, id)) {
                     onTrialEnded(run.fingerprint);
@@ -82,7 +82,7 @@
 
 void SuspectCoordinator::onEndpointsChanged()
 {
-    CrashDetector &watch = m_relay.state().crashWatch;
+    CrashDetector &watch = m_relay.state().crashDetector;
     if (watch.interruptions.empty()) {
         return;
     }
--- a/godwit/relay/caller_connection_test.cpp
+++ b/godwit/relay/caller_connection_test.cpp
@@ -143,21 +143,21 @@
     const std::string unknownRoute = "HTTP/1.1 404";
     SECTION("a peer has had a newer document for two seconds")
     {
-        recordPeerState(state.documentAgreement, now, std::chrono::seconds(2), now);
+        recordPeerState(state.documentFreshness, now, std::chrono::seconds(2), now);
         router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(refused) == 0);
     }
     SECTION("a peer has had a newer endpoint list for two seconds")
     {
-        recordPeerState(state.endpointsAgreement, now, std::chrono::seconds(2), now);
+        recordPeerState(state.endpointsFreshness, now, std::chrono::seconds(2), now);
         router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(refused) == 0);
     }
     SECTION("no recent reply from a peer: the router is partitioned and serves what it can")
     {
-        recordPeerState(state.documentAgreement, now, std::chrono::seconds(2), now - std::chrono::seconds(3));
+        recordPeerState(state.documentFreshness, now, std::chrono::seconds(2), now - std::chrono::seconds(3));
         state.routes = makeRouteTable(documentWithRoute());
         router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
@@ -165,7 +165,7 @@
     }
     SECTION("the peers have nothing newer")
     {
-        recordPeerState(state.documentAgreement, now, Duration::zero(), now);
+        recordPeerState(state.documentFreshness, now, Duration::zero(), now);
         router.sendGet("keep-alive");
         router.run(std::chrono::milliseconds(20));
         CHECK(router.received().find(unknownRoute) == 0);
@@ -189,7 +189,7 @@
     }
     const std::string denied = routeIsKnown ? "HTTP/1.1 401" : "HTTP/1.1 404";
     state.routes = makeRouteTable(document);
-    CopyFreshness &agreement = state.documentAgreement;
+    CopyFreshness &agreement = state.documentFreshness;
     std::string expected = "HTTP/1.1 503";
     SECTION("no confirmation was received")
     {
--- a/godwit/relay/relay.cpp
+++ b/godwit/relay/relay.cpp
@@ -63,13 +63,13 @@
 
 bool Relay::hasOutdatedCopy(TimePoint now) const
 {
-    return isStale(m_state.endpointsAgreement, m_options.agreement, now)
-        || isStale(m_state.documentAgreement, m_options.agreement, now);
+    return isStale(m_state.endpointsFreshness, m_options.agreement, now)
+        || isStale(m_state.documentFreshness, m_options.agreement, now);
 }
 
 bool Relay::hasConfirmedDocument(TimePoint now) const
 {
-    return isConfirmedCurrent(m_state.documentAgreement, m_options.agreement, now);
+    return isConfirmedCurrent(m_state.documentFreshness, m_options.agreement, now);
 }
 
 void Relay::waitForTokens(const std::shared_ptr<RelayCall> &call)
--- a/godwit/relay/relay.h
+++ b/godwit/relay/relay.h
@@ -100,7 +100,7 @@
     std::shared_ptr<const RouteTable> routes; // Null until the first document has been read.
     EndpointTable endpoints;
     PrepaidShare prepaid;
-    std::map<std::string, RetryBudget> retryAllowances; // Keyed by service.
+    std::map<std::string, RetryBudget> retryBudgets; // Keyed by service.
     LimitShares limitShares;
     AdvertisedRouters senders;
     RelayStage stage = RelayStage::Starting;
@@ -111,9 +111,9 @@
     TimePoint endpointsAsOf; // The endpoint list is at least as new as this.
     TimePoint documentAsOf; // The document is at least as new as this.
     bool closeAfterAnswer = false; // Connections are closed after their responses, so that callers reconnect.
-    CopyFreshness endpointsAgreement; // Whether the endpoint list is as new as those of other routers.
-    CopyFreshness documentAgreement; // Likewise for the document.
-    CrashDetector crashWatch;
+    CopyFreshness endpointsFreshness; // Whether the endpoint list is as new as those of other routers.
+    CopyFreshness documentFreshness; // Likewise for the document.
+    CrashDetector crashDetector;
     RecentAnswers recentAnswers;
     SuspectTracker suspects; // Requests during which endpoints crashed.
     std::set<EndpointId> trialEndpoints; // Endpoints where any router has a trial of a suspect request in flight.
--- a/godwit/relay/relay_call.cpp
+++ b/godwit/relay/relay_call.cpp
@@ -17,7 +17,7 @@
 
 // Key for cache affinity: the last part of the prompt that other requests may share, which is the one before the
 // request's own.
-std::string_view sharedPart(const RequestMetadata &facts)
+std::string_view sharedPromptPrefix(const RequestMetadata &facts)
 {
     const auto &parts = facts.promptSegments;
     if (parts.empty()) {
@@ -105,7 +105,7 @@
     m_serviceName = pickService(*m_route, stableHash(m_facts.attemptId));
     m_service = findService(*m_table, m_serviceName);
     restrictTo(m_regions, m_route->allowedRegions);
-    countRequest(m_relay.state().retryAllowances[m_serviceName], m_relay.options().retryRules, m_arrived);
+    countRequest(m_relay.state().retryBudgets[m_serviceName], m_relay.options().retryRules, m_arrived);
     return true;
 }
 
@@ -179,7 +179,7 @@
         query.latencyTarget = std::max(Duration::zero(), m_arrived + m_route->latencyTarget - Relay::now());
     }
     if (m_route->cachesPrompts) {
-        query.affinity = sharedPart(m_facts);
+        query.affinity = sharedPromptPrefix(m_facts);
         query.sharedTokens = sharedTokens(m_facts);
     }
     RelayState &state = m_relay.state();
@@ -234,7 +234,7 @@
     if (m_relay.onPromptSent) {
         PromptSent prompt{m_endpoint, unread, {}};
         if (m_route->cachesPrompts) {
-            prompt.prefix = sharedPart(m_facts);
+            prompt.prefix = sharedPromptPrefix(m_facts);
         }
         m_relay.onPromptSent(prompt, prefillTime(endpoint.load, speed, unread));
     }
--- a/godwit/relay/relay_call_retries.cpp
+++ b/godwit/relay/relay_call_retries.cpp
@@ -54,7 +54,7 @@
     RelayState &state = m_relay.state();
     const TimePoint now = Relay::now();
     const double part = fractionOf(usableShares(state.limitShares, now, Relay::uptime()));
-    const RetryDecision draw = tryTakeRetry(state.retryAllowances[m_serviceName], options.retryRules, part, now);
+    const RetryDecision draw = tryTakeRetry(state.retryBudgets[m_serviceName], options.retryRules, part, now);
     recordRetry(cause, draw.granted ? RetryOutcome::Taken : RetryOutcome::Denied, draw);
     return draw.granted;
 }
--- a/godwit/relay/relay_call_suspects.cpp
+++ b/godwit/relay/relay_call_suspects.cpp
@@ -38,7 +38,7 @@
     if (declared) {
         recordAnswer(state.recentAnswers, fingerprint(), Relay::now());
     }
-    if (state.suspects.deathCount.empty() && state.crashWatch.interruptions.empty()) {
+    if (state.suspects.deathCount.empty() && state.crashDetector.interruptions.empty()) {
         return;
     }
     if (declared) {
@@ -51,11 +51,11 @@
 
 Admission RelayCall::admissionNow()
 {
-    const SuspectTracker &book = m_relay.state().suspects;
-    if (book.deathCount.empty() && book.refusedUntil.empty()) {
+    const SuspectTracker &tracker = m_relay.state().suspects;
+    if (tracker.deathCount.empty() && tracker.refusedUntil.empty()) {
         return Admission::Unrestricted;
     }
-    return admissionFor(book, fingerprint(), Relay::now());
+    return admissionFor(tracker, fingerprint(), Relay::now());
 }
 
 void RelayCall::refuseSuspect()
