--- a/godwit/relay/relay_call_answer.cpp
+++ b/godwit/relay/relay_call_answer.cpp
@@ -155,8 +155,8 @@
         return;
     }
     if (m_headForwarded && !m_forwardsEvents && m_route->kind == GatewayRouteKind::Streaming) {
-        // The resume attempt of a stream got an error response. Forwarding its body would end the stream as if it were
-        // complete.
+        // A stream whose head was forwarded, possibly without any event yet, got an error response to a later attempt.
+        // Forwarding its body would end the stream as if it were complete.
         endAttempt(AttemptFeedback::Failed);
         retryOrFail("resume_failed", true);
         return;
